--- a/benchmarks/blind.py
+++ b/benchmarks/blind.py
@@ -28,7 +28,7 @@
 from pointgw.rig.results import Result, compare, result, spread
 from pointgw.rig.scenario import Scenario, Trouble, read
 from pointgw.state.form import encode
-from pointgw.state.store import Store
+from pointgw.state.store import SnapshotStore
 
 FIRST = 10.0  # seconds from the restart that are looked at
 
@@ -68,9 +68,9 @@
     """Makes a memory so many seconds older than it is."""
 
     def between(folder: Path) -> None:
-        store = Store(str(folder))
+        store = SnapshotStore(str(folder))
         store.claim("benchmark")
-        found = store.load().memory
+        found = store.load().snapshot
         assert found is not None
         facts = tuple(
             msgspec.structs.replace(
--- a/benchmarks/filling_size.py
+++ b/benchmarks/filling_size.py
@@ -20,10 +20,10 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
 from filling_world import World
-from pointgw.recovery.loans import Loans
+from pointgw.recovery.loans import Leases
 
 
-class Liar(Loans):
+class Liar(Leases):
     """Says yes to all that may borrow of it, and goes without nothing."""
 
     def asked(self, borrower: int, now: float) -> bool:
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -12,22 +12,24 @@
 import tempfile
 import time
 
-from pointgw.interface import Listed
+from pointgw.interface import ServerEntry
 from pointgw.state import form
-from pointgw.state.facts import Memory
-from pointgw.state.keeper import Keeper
-from pointgw.state.recall import Roster, recall
-from pointgw.state.store import Store
-
-
-def roster(entries: int, now: float) -> Roster:
-    made = Roster()
-    lines = [Listed(f"server-{i:06d}", "active", 0, i // 8, i % 4, now - 1000.0, 1.0) for i in range(entries)]
-    made.hear(lines, [(line.server, "127.0.0.1", 9000) for line in lines], True, now)
+from pointgw.state.facts import Snapshot
+from pointgw.state.keeper import SnapshotWriter
+from pointgw.state.recall import MembershipView, restore
+from pointgw.state.store import SnapshotStore
+
+
+def roster(entries: int, now: float) -> MembershipView:
+    made = MembershipView()
+    lines = [
+        ServerEntry(f"server-{i:06d}", "active", 0, i // 8, i % 4, now - 1000.0, 1.0) for i in range(entries)
+    ]
+    made.apply_list(lines, [(line.server, "127.0.0.1", 9000) for line in lines], True, now)
     return made
 
 
-async def held(entries: int, seconds: float, stall: float, folder: str) -> tuple[list[float], Keeper]:
+async def held(entries: int, seconds: float, stall: float, folder: str) -> tuple[list[float], SnapshotWriter]:
     """How late the loop was, each 2 ms, while 200 changes a second come and each fsync takes `stall`."""
     loop, now = asyncio.get_running_loop(), time.time()
     kept = roster(entries, now)
@@ -36,19 +38,19 @@
         if name == "fsync" and stall:
             time.sleep(stall)
 
-    store = Store(folder, step)
+    store = SnapshotStore(folder, step)
     store.claim("n0")
 
-    def take(clean: bool) -> Memory:
-        return Memory("mark", time.time(), 1, "here", clean, kept.kept(time.time()))
+    def take(clean: bool) -> Snapshot:
+        return Snapshot("mark", time.time(), 1, "here", clean, kept.kept(time.time()))
 
-    keeper = Keeper(store, take, lambda: kept.news, loop)
+    keeper = SnapshotWriter(store, take, lambda: kept.change_count, loop)
     lags: list[float] = []
     until, names = loop.time() + seconds, itertools.cycle(range(entries))
     while loop.time() < until:
         for _ in range(2):
             name = f"server-{next(names):06d}"
-            kept.hear([Listed(name, "leaving", 0, 0, 0, 0.0, 1.0)], [], False, time.time())
+            kept.apply_list([ServerEntry(name, "leaving", 0, 0, 0, 0.0, 1.0)], [], False, time.time())
         for _ in range(5):
             due = time.monotonic() + 0.002
             await asyncio.sleep(0.002)
@@ -66,18 +68,18 @@
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     made = roster(told.entries, now)
     grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before
-    memory = Memory("mark", now, 1, "here", False, made.kept(now))
+    memory = Snapshot("mark", now, 1, "here", False, made.kept(now))
     data = form.encode(memory)
     with tempfile.TemporaryDirectory() as folder:
-        store = Store(folder)
+        store = SnapshotStore(folder)
         store.claim("n0")
         store.save(data)
         began = time.perf_counter()
-        found = store.load().memory
+        found = store.load().snapshot
         read = time.perf_counter() - began
         assert found is not None
         began = time.perf_counter()
-        assert recall(found, [], "mark", now) is not None
+        assert restore(found, [], "mark", now) is not None
         recalled = time.perf_counter() - began
         store.release()
     print(f"entries {told.entries}: {len(data) / 1e3:.0f} kB a generation, {grown / 1e3:.1f} MB held")
--- a/pointgw/checked.py
+++ b/pointgw/checked.py
@@ -19,28 +19,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class InvalidValue:
     """One thing that is wrong in a file."""
 
     path: str  # of the key, as in "rule[2].share"; nothing: the file itself
     value: str
     expected: str
 
-    def line(self, file: str) -> str:
+    def message(self, file: str) -> str:
         shown = f" = {self.value}" if self.value else ""
         return f"{file}: {self.path or 'the file'}{shown}: expected {self.expected}"
 
 
-class Faulty(Exception):
-    """A file that can't be used. `faults` holds all that is wrong with it."""
+class InvalidFileError(Exception):
+    """A file that can't be used. `problems` holds all that is wrong with it."""
 
-    def __init__(self, file: str, faults: list[Fault]) -> None:
-        super().__init__("; ".join(fault.line(file) for fault in faults))
-        self.file, self.faults = file, faults
+    def __init__(self, file: str, faults: list[InvalidValue]) -> None:
+        super().__init__("; ".join(fault.message(file) for fault in faults))
+        self.file, self.problems = file, faults
 
 
 def read(path: Path, kind: type[T]) -> T:
-    """The file as a struct. Raises `Faulty` with every fault, also where it can't be opened."""
+    """The file as a struct. Raises `InvalidFileError` with every fault, also where it can't be opened."""
     return convert(read_toml(path), kind, str(path))
 
 
@@ -48,38 +48,40 @@
     try:
         return tomllib.loads(path.read_text("utf-8"))
     except OSError as fault:
-        raise Faulty(str(path), [Fault("", "", f"a file that can be read ({fault.strerror})")]) from None
+        raise InvalidFileError(
+            str(path), [InvalidValue("", "", f"a file that can be read ({fault.strerror})")]
+        ) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as fault:
-        raise Faulty(str(path), [Fault("", "", f"TOML ({fault})")]) from None
+        raise InvalidFileError(str(path), [InvalidValue("", "", f"TOML ({fault})")]) from None
 
 
 def convert(value: dict[str, Any], kind: type[T], file: str) -> T:
     faults = list(_faults(value, kind, ""))
     if faults:
-        raise Faulty(file, faults)
+        raise InvalidFileError(file, faults)
     made = msgspec.convert(value, kind)
     # What one key alone can't tell: a struct may have a method that looks at all of its keys.
     faults = list(_whole(made, ""))
     if faults:
-        raise Faulty(file, faults)
+        raise InvalidFileError(file, faults)
     return made
 
 
-def _faults(value: Any, kind: Any, path: str) -> Iterator[Fault]:
+def _faults(value: Any, kind: Any, path: str) -> Iterator[InvalidValue]:
     struct = _struct_of(kind)
     if struct is None:
         try:
             msgspec.convert(value, kind)
         except msgspec.ValidationError as fault:
-            yield Fault(path, repr(value), _expected(str(fault)))
+            yield InvalidValue(path, repr(value), _expected(str(fault)))
     elif get_origin(kind) is list or get_origin(kind) is tuple:
         if not isinstance(value, list):
-            yield Fault(path, repr(value), "a list of tables")
+            yield InvalidValue(path, repr(value), "a list of tables")
             return
         for i, item in enumerate(value):
             yield from _faults(item, struct, f"{path}[{i}]")
     elif not isinstance(value, dict):
-        yield Fault(path, repr(value), "a table")
+        yield InvalidValue(path, repr(value), "a table")
     else:
         fields = {field.encode_name: field for field in msgspec.structs.fields(struct)}
         for name, inner in value.items():
@@ -89,10 +91,10 @@
             else:
                 near = get_close_matches(name, fields, 1, 0.5)
                 known = f"{near[0]!r}" if near else "one of " + ", ".join(fields)
-                yield Fault(at, "", f"{known} (this key is not known)")
+                yield InvalidValue(at, "", f"{known} (this key is not known)")
         for name, field in fields.items():
             if name not in value and field.required:
-                yield Fault(f"{path}.{name}" if path else name, "", "a value, got nothing")
+                yield InvalidValue(f"{path}.{name}" if path else name, "", "a value, got nothing")
 
 
 def _struct_of(kind: Any) -> type[msgspec.Struct] | None:
@@ -109,11 +111,11 @@
     return text.replace("Expected ", "").replace("`", "").replace("Invalid enum value", "a known word, not")
 
 
-def _whole(made: msgspec.Struct, path: str) -> Iterator[Fault]:
+def _whole(made: msgspec.Struct, path: str) -> Iterator[InvalidValue]:
     check = getattr(made, "check", None)
     if check is not None:
         for name, value, expected in check():
-            yield Fault(f"{path}.{name}" if path else name, repr(value), expected)
+            yield InvalidValue(f"{path}.{name}" if path else name, repr(value), expected)
     for field in msgspec.structs.fields(made):
         value = getattr(made, field.name)
         at = f"{path}.{field.encode_name}" if path else field.encode_name
--- a/pointgw/command/main.py
+++ b/pointgw/command/main.py
@@ -38,17 +38,17 @@
 @click.option("--json", "as_json", is_flag=True, help="Faults as JSON on standard output.")
 def check(file: str, kind: str | None, as_json: bool) -> int:
     """Check a file and tell all that is wrong with it. Exit 1: a fault."""
-    faults: list[checked.Fault] = []
+    faults: list[checked.InvalidValue] = []
     try:
         _checked(Path(file), kind)
-    except checked.Faulty as told:
-        faults = told.faults
+    except checked.InvalidFileError as told:
+        faults = told.problems
     if as_json:
         rows = [{"path": f.path, "value": f.value, "expected": f.expected} for f in faults]
         click.echo(json.dumps({"file": file, "faults": rows}))
     else:
         for fault in faults:
-            click.echo(fault.line(file), err=True)
+            click.echo(fault.message(file), err=True)
         if not faults:
             click.echo(f"{file}: nothing wrong")
     return 1 if faults else 0
@@ -56,16 +56,16 @@
 
 def _checked(path: Path, kind: str | None) -> None:
     if kind == "start" or (kind is None and path.suffix == ".json"):
-        from pointgw.net.wire.start import start
+        from pointgw.net.wire.start import parse_start_up_file
 
         try:
-            start(path.read_bytes())
+            parse_start_up_file(path.read_bytes())
         except OSError as fault:
             what = f"a file that can be read ({fault.strerror})"
-            raise checked.Faulty(str(path), [checked.Fault("", "", what)]) from None
+            raise checked.InvalidFileError(str(path), [checked.InvalidValue("", "", what)]) from None
         except Malformed as fault:
-            raise checked.Faulty(
-                str(path), [checked.Fault("", "", str(fault).removeprefix("expected "))]
+            raise checked.InvalidFileError(
+                str(path), [checked.InvalidValue("", "", str(fault).removeprefix("expected "))]
             ) from None
         return
     told = checked.read_toml(path)
@@ -78,9 +78,9 @@
 
         checked.convert(told, Scenario, str(path))
     else:
-        from pointgw.operators import Operators
+        from pointgw.operators import OperatorSettings
 
-        checked.convert(told, Operators, str(path))
+        checked.convert(told, OperatorSettings, str(path))
 
 
 @pointgw.command("fault-box")
--- a/pointgw/command/parts.py
+++ b/pointgw/command/parts.py
@@ -31,7 +31,7 @@
     """A file with faults: a line for each, and exit 2."""
     try:
         yield
-    except checked.Faulty as told:
-        for fault in told.faults:
-            click.echo(f"pointgw: {fault.line(told.file)}", err=True)
+    except checked.InvalidFileError as told:
+        for fault in told.problems:
+            click.echo(f"pointgw: {fault.message(told.file)}", err=True)
         raise click.exceptions.Exit(2) from None
--- a/pointgw/command/rig.py
+++ b/pointgw/command/rig.py
@@ -136,7 +136,7 @@
         if found:
             return found
         what = "at least one run"
-    raise checked.Faulty(path, [checked.Fault("", "", what)])
+    raise checked.InvalidFileError(path, [checked.InvalidValue("", "", what)])
 
 
 def load_and_show(load: Load, as_json: bool) -> int:
--- a/pointgw/command/state.py
+++ b/pointgw/command/state.py
@@ -8,15 +8,15 @@
 import click
 import msgspec
 
-from pointgw.state.form import Newer
+from pointgw.state.form import NewerVersionError
 from pointgw.state.recall import rows
-from pointgw.state.store import Found, Store
+from pointgw.state.store import LoadResult, SnapshotStore
 
 
-def _load(folder: str) -> Found | None:
+def _load(folder: str) -> LoadResult | None:
     try:
-        return Store(folder).load()
-    except Newer as fault:
+        return SnapshotStore(folder).load()
+    except NewerVersionError as fault:
         click.echo(f"pointgw state: {folder}: left untouched: {fault}", err=True)
     except OSError as fault:
         why = f"expected a folder that can be read ({fault.strerror})"
@@ -24,7 +24,7 @@
     return None
 
 
-def _damage(folder: str, found: Found) -> bool:
+def _damage(folder: str, found: LoadResult) -> bool:
     for what in found.lost:
         click.echo(f"pointgw state: {folder}: damaged: {what}", err=True)
     return bool(found.lost)
@@ -32,11 +32,11 @@
 
 def show(folder: str, as_json: bool) -> int:
     found = _load(folder)
-    if found is None or found.memory is None:
+    if found is None or found.snapshot is None:
         if found is not None and not _damage(folder, found):
             click.echo(f"pointgw state: {folder}: expected a memory, found none", err=True)
         return 1
-    memory, now = found.memory, time.time()
+    memory, now = found.snapshot, time.time()
     entries = rows(memory, now)
     if as_json:
         head = {"generation": found.generation, "age": now - memory.written, "clean": memory.clean}
@@ -57,16 +57,16 @@
     if found is None:
         return 1
     damaged = _damage(folder, found)
-    if found.memory is None:
+    if found.snapshot is None:
         click.echo(f"{folder}: no sound generation")
         return 1
-    click.echo(f"{folder}: generation {found.generation} is sound, {len(found.memory.facts)} entries")
+    click.echo(f"{folder}: generation {found.generation} is sound, {len(found.snapshot.facts)} entries")
     return 1 if damaged else 0
 
 
 def export(folder: str) -> int:
     found = _load(folder)
-    if found is None or found.memory is None:
+    if found is None or found.snapshot is None:
         return 1
-    click.echo(msgspec.json.encode(msgspec.to_builtins(found.memory)).decode())
+    click.echo(msgspec.json.encode(msgspec.to_builtins(found.snapshot)).decode())
     return 1 if _damage(folder, found) else 0
--- a/pointgw/drill/codec.py
+++ b/pointgw/drill/codec.py
@@ -4,7 +4,7 @@
 
 from typing import Any, cast
 
-from pointgw.interface import Ending, Listed, Report
+from pointgw.interface import Ending, Report, ServerEntry
 from pointgw.site import Fields, Malformed, choice, number, seconds, text, wanted, whole
 from pointgw.site import report as report_of
 
@@ -32,14 +32,14 @@
     return report_of(fields.get("telemetry", ""), ":")
 
 
-def entry(fields: Fields) -> Listed:
-    return Listed(
+def entry(fields: Fields) -> ServerEntry:
+    return ServerEntry(
         server=text(fields, "server"),
         state=cast(Any, choice(fields, "availability", STATES)),
         kind=whole(fields, "kind", 0),
         cell=whole(fields, "stripe", 0),
         zone=whole(fields, "locality", 0),
-        started=seconds(fields, "startTime", 0.0),
+        started_at=seconds(fields, "startTime", 0.0),
         weight=number(fields, "nominal", 1.0),
     )
 
--- a/pointgw/drill/host.py
+++ b/pointgw/drill/host.py
@@ -11,7 +11,7 @@
 
 from pointgw import site
 from pointgw.drill import codec
-from pointgw.interface import Listed
+from pointgw.interface import ServerEntry
 from pointgw.policy import Balancer, Server, Tunnel
 from pointgw.site import Fields, Malformed
 
@@ -45,25 +45,25 @@
         self.lines.append(f"DROP_REQUEST\txid={tun.name}")
         self.drop_done(tun)
 
-    def move(self, tun: Tunnel) -> None:
+    def migrate(self, tun: Tunnel) -> None:
         self.lines.append(f"REASSIGN\txid={tun.name}")
 
     def probe(self, ep: Server) -> None:
         self.lines.append(f"ASK_LOAD\tserver={ep.name}")
 
-    def watch(self) -> None:
+    def watch_list(self) -> None:
         self.lines.append("KEEP_INFORMED\ton=1")
 
-    def timer(self, delay: float) -> None:
+    def set_timer(self, delay: float) -> None:
         self.lines.append(f"TIMER\tspan={_ms(delay)}\tcookie=0")
 
     # What the wire reports.
 
-    def announce(self, form: str, entries: list[Listed], now: float) -> None:
+    def announce(self, form: str, entries: list[ServerEntry], now: float) -> None:
         if form == "failed":
-            self.balancer.list_failed(now)
+            self.balancer.list_request_failed(now)
         else:
-            self.balancer.listed(entries, form != "delta", form == "cached", now)
+            self.balancer.update_servers(entries, form != "delta", form == "cached", now)
 
     def server(self, fields: Fields) -> Server:
         name = site.text(fields, "server")
@@ -83,7 +83,7 @@
         name = site.text(fields, "xid")
         if name in self.tunnels:
             raise Malformed(f"expected a new tunnel, got {name!r} again")
-        tun = self.balancer.tunnel(
+        tun = self.balancer.new_tunnel(
             name,
             self.profile(fields),
             site.whole(fields, "owner", 0),
@@ -96,18 +96,18 @@
         return tun
 
     def drop_done(self, tun: Tunnel) -> None:
-        if tun.done:
+        if tun.is_finished:
             self.tunnels.pop(tun.name, None)
 
     def on_job_in(self, fields: Fields, now: float) -> None:
         tun = self.new_tunnel(fields, now + site.seconds(fields, "expiresIn"))
-        self.balancer.arrived(tun, site.flag(fields, "stray", False), now)
+        self.balancer.tunnel_arrived(tun, site.flag(fields, "stray", False), now)
         self.drop_done(tun)
 
     def on_inherited(self, fields: Fields, now: float) -> None:
         ep = self.server(fields)
         tun = self.new_tunnel(fields, now)
-        self.balancer.inherited(tun, ep, now)
+        self.balancer.tunnel_inherited(tun, ep, now)
 
     def profile(self, fields: Fields) -> int:
         i = site.whole(fields, "grade", 0)
@@ -117,7 +117,7 @@
 
     def on_under_way(self, fields: Fields, now: float) -> None:
         tun = self.tunnel(fields)
-        self.balancer.opened(tun, self.number(tun, fields), now)
+        self.balancer.setup_opened(tun, self.number(tun, fields), now)
 
     def number(self, tun: Tunnel, fields: Fields) -> int:
         i = site.whole(fields, "roundNo")
@@ -129,13 +129,13 @@
         tun, kind = self.tunnel(fields), site.whole(fields, "kind")
         level = site.number(fields, "level")
         if kind == 1:
-            self.balancer.load_noted(tun, level / 1e6, now)
+            self.balancer.record_load(tun, level / 1e6, now)
         elif kind == 2:
-            self.balancer.delay_noted(tun, level / 1e3, now)
+            self.balancer.record_delay(tun, level / 1e3, now)
 
     def on_reply(self, fields: Fields, now: float) -> None:
         tun = self.tunnel(fields)
-        self.balancer.ended(
+        self.balancer.setup_ended(
             tun,
             self.number(tun, fields),
             site.choice(fields, "ending", codec.ENDINGS),
@@ -148,16 +148,16 @@
     def on_left(self, fields: Fields, now: float) -> None:
         tun = self.tunnels.get(site.text(fields, "xid"))
         if tun is not None:  # it may be over already
-            self.balancer.left(tun, now)
+            self.balancer.client_left(tun, now)
             self.drop_done(tun)
 
     def on_probed(self, fields: Fields, now: float) -> None:
         ending = site.choice(fields, "ending", codec.ENDINGS)
-        self.balancer.probed(self.server(fields), ending, codec.report(fields), now)
+        self.balancer.probe_ended(self.server(fields), ending, codec.report(fields), now)
 
     def on_tick_due(self, fields: Fields, now: float) -> None:
         site.whole(fields, "cookie")
-        self.balancer.tick(now)
+        self.balancer.timer_due(now)
 
     def on_datagram(self, fields: Fields, now: float) -> None:
         """The decisions take nothing from other balancers: telling reports was measured and lost."""
@@ -184,8 +184,8 @@
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
         self.touched: dict[int, Instance] = {}
-        self.tables: dict[int, list[Listed]] = {}
-        self.filling: list[Listed] = []
+        self.tables: dict[int, list[ServerEntry]] = {}
+        self.filling: list[ServerEntry] = []
         self.missing = 0  # entries of the list being read that are still to come
         self.current: int | None = None
         self.turn: int | None = None
--- a/pointgw/faultbox/serve.py
+++ b/pointgw/faultbox/serve.py
@@ -15,7 +15,7 @@
 
 
 def serve_box(listen: Address, to: Address, script: str | None, seed: int, trace: str | None) -> int:
-    """Runs until SIGINT or SIGTERM, then writes the trace. Raises `checked.Faulty`."""
+    """Runs until SIGINT or SIGTERM, then writes the trace. Raises `checked.InvalidFileError`."""
     rules = checked.read(Path(script), Script) if script else Script()
 
     async def serve() -> int:
--- a/pointgw/interface.py
+++ b/pointgw/interface.py
@@ -14,7 +14,7 @@
     from pointgw.policy import Server, Tunnel
 
 Semantics = Literal["repeatable", "referenced", "once-only"]
-Group = Literal["all", "zone", "cell"]
+DedupScope = Literal["all", "zone", "cell"]
 # How a setup or a probe ended. "full", "no-connection" and "moot" prove that it never ran.
 Ending = Literal["ok", "error", "full", "timeout", "no-connection", "reset", "cancelled", "moot"]
 # A load report: any of "connections", "load" (asked over capacity), "backlog" (seconds of work),
@@ -27,9 +27,9 @@
     """One profile of tunnels."""
 
     semantics: Semantics
-    group: Group
-    window: float
-    setup_goal: float
+    dedup_scope: DedupScope
+    dedup_window: float
+    attempt_timeout: float
     client_timeout: float
     credit: float
 
@@ -38,31 +38,31 @@
 class Site:
     """All that a balancer is told at its start."""
 
-    balancers: int
+    balancer_count: int
     zone: int
     profiles: tuple[Profile, ...]
-    asks: bool  # the server list answers only when asked
-    ask_every: float
-    fields: tuple[str, ...]  # the values of a load report
+    list_is_polled: bool  # the server list answers only when asked
+    list_poll_interval: float
+    report_fields: tuple[str, ...]  # the values of a load report
     max_setups: int
     may_probe: bool
     may_cancel: bool
-    come_back: float  # the longest come-back time that clients follow; 0: none may be given
-    grain: float  # the shortest time between two turns
-    cold_share: float
-    cold_time: float
-    tip_multiple: float
-    tip_span: float
+    max_retry_after: float  # the longest come-back time that clients follow; 0: none may be given
+    timer_resolution: float  # the shortest time between two turns
+    slow_start_share: float
+    warm_up_window: float
+    overload_factor: float
+    overload_window: float
     probe_price: float
-    shares: float = 0.0  # open tunnels, at all balancers, that the tenants' shares allow; 0: not told
-    sized: bool = False  # the list tells how large servers are
-    number: int = -1  # its own, of 0 to balancers - 1; -1: not told
-    drain_binds_alone: bool = False  # a server that is gone without having drained may still be used
-    nines: float = 0.0  # weight of the nines in the result: tenfold steps of the unserved share
-    top_nines: float = 0.0  # how many of them count in full; 0: not told
+    tunnel_quota: float = 0.0  # open tunnels, at all balancers, that the tenants' shares allow; 0: not told
+    sizes_listed: bool = False  # the list tells how large servers are
+    balancer_index: int = -1  # its own, of 0 to balancers - 1; -1: not told
+    only_draining_excludes: bool = False  # a server that is gone without having drained may still be used
+    nines_weight: float = 0.0  # weight of the nines in the result: tenfold steps of the unserved share
+    max_nines: float = 0.0  # how many of them count in full; 0: not told
 
 
-class Listed(NamedTuple):
+class ServerEntry(NamedTuple):
     """One line of the server list."""
 
     server: str
@@ -70,7 +70,7 @@
     kind: int
     cell: int
     zone: int
-    started: float  # 0: long ago
+    started_at: float  # 0: long ago
     weight: float
 
 
@@ -81,7 +81,7 @@
     def cancel(self, tun: Tunnel, number: int) -> None: ...
     def decline(self, tun: Tunnel, come_back: float) -> None: ...
     def close_with_error(self, tun: Tunnel) -> None: ...
-    def move(self, tun: Tunnel) -> None: ...
+    def migrate(self, tun: Tunnel) -> None: ...
     def probe(self, ep: Server) -> None: ...
-    def watch(self) -> None: ...
-    def timer(self, delay: float) -> None: ...
+    def watch_list(self) -> None: ...
+    def set_timer(self, delay: float) -> None: ...
--- a/pointgw/net/invariant.py
+++ b/pointgw/net/invariant.py
@@ -5,17 +5,17 @@
 import logging
 from collections import Counter
 
-broken: Counter[str] = Counter()
+violations: Counter[str] = Counter()
 _log = logging.getLogger("pointgw.invariant")
 
 
-def invariant(holds: bool, what: str) -> bool:
+def check_invariant(holds: bool, what: str) -> bool:
     """True if it holds. `what` names the fault in a few fixed words, so that it can be counted."""
     if holds:
         return True
     if __debug__:
         raise AssertionError(what)
-    broken[what] += 1
-    if broken[what] <= 10:
-        _log.error("broken", extra={"fields": {"what": what, "count": broken[what]}})
+    violations[what] += 1
+    if violations[what] <= 10:
+        _log.error("broken", extra={"fields": {"what": what, "count": violations[what]}})
     return False
--- a/pointgw/net/memory/effects.py
+++ b/pointgw/net/memory/effects.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from pointgw.net.wire.lines import Answer, Opening
+from pointgw.net.wire.lines import Answer, OpenRequest
 from pointgw.net.wire.listing import Names
 
 Address = tuple[str, int]
@@ -12,20 +12,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Sets a tunnel up: dials a new connection. Its request is written once `Write` asks for it."""
+    """Sets a tunnel up: dials a new connection. Its request is written once `WriteRequest` asks for it."""
 
     client: int
     setup: int
     address: Address
-    opening: Opening
-    patience: float | None  # told to the server; None: the line goes on as it came
-    within: float  # for all of it
-    connect_within: float
-    after: float = 0.0
+    opening: OpenRequest
+    remaining_time: float | None  # told to the server; None: the line goes on as it came
+    timeout: float  # for all of it
+    connect_timeout: float
+    delay: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
+class WriteRequest:
     """The request of a setup whose connection is up."""
 
     client: int
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drop:
+class AbandonSetup:
     """Gives up a setup, or ends an open tunnel at its server."""
 
     client: int
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Join:
+class RelayTunnel:
     """Passes the server's answer on, and then all lines both ways."""
 
     client: int
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class CloseClient:
     """Ends a client's connection in the way its server did."""
 
     client: int
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class MigrateClient:
     """Sends a client away politely and ends both sides."""
 
     client: int
@@ -78,8 +78,8 @@
 class Probe:
     server: str
     address: Address
-    within: float
-    connect_within: float
+    timeout: float
+    connect_timeout: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class SwitchDiscovery:
     """Discovery has another address; a call that is out is given up."""
 
     address: Address
@@ -98,42 +98,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A call to discovery; `version`: the one known, `hold`: its longest wait, `after`: until it goes out."""
+class RequestList:
+    """A call to discovery; `version`: the one known, `wait`: its longest wait, `delay`: until it goes out."""
 
     version: int | None
-    hold: float
-    after: float = 0.0
+    wait: float
+    delay: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
-    """A `Tick` after a time."""
+class SetTimer:
+    """A `TimerDue` after a time."""
 
     delay: float
 
 
 @dataclass(frozen=True, slots=True)
-class StopIn:
-    """Another `Stopping` after a time."""
+class ScheduleStop:
+    """Another `StopRequested` after a time."""
 
     delay: float
 
 
 @dataclass(frozen=True, slots=True)
-class EndIdle:
+class CloseIdleClients:
     """Ends the clients' connections on which nothing was asked for: this balancer stops."""
 
 
 @dataclass(frozen=True, slots=True)
-class Exit:
+class ExitProcess:
     """All tunnels are over: no connection is taken any more, and the process ends once those that are left
     have ended, or after a time."""
 
-    within: float
+    time_limit: float
 
 
 Effect = (
-    Connect | Write | Drop | Reply | Join | End | Move | Probe | ForgetServer | Turn | Ask | Wake | StopIn
-    | EndIdle | Exit
+    Connect | WriteRequest | AbandonSetup | Reply | RelayTunnel | CloseClient | MigrateClient | Probe
+    | ForgetServer | SwitchDiscovery | RequestList | SetTimer | ScheduleStop | CloseIdleClients | ExitProcess
 )  # fmt: skip
--- a/pointgw/net/memory/events.py
+++ b/pointgw/net/memory/events.py
@@ -5,20 +5,20 @@
 from dataclasses import dataclass
 
 from pointgw.interface import Ending, Report
-from pointgw.net.wire.lines import Closing, Load, Opening
-from pointgw.net.wire.listing import Listing, Names
+from pointgw.net.wire.lines import EndLine, Load, OpenRequest
+from pointgw.net.wire.listing import Names, ServerList
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
+class ClientArrived:
     """A client has sent its first line."""
 
     client: int
-    opening: Opening
+    opening: OpenRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class ClientLeft:
     """A client has ended its connection."""
 
     client: int
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dialled:
+class SetupConnected:
     """The connection of a setup is up, and nothing was written to it."""
 
     client: int
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class SetupOpened:
     """A server has taken a tunnel."""
 
     client: int
@@ -42,17 +42,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class SetupEnded:
     """A setup, or an open tunnel at its server, has ended."""
 
     client: int
     setup: int
-    closing: Closing
+    closing: EndLine
     reset: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Weighed:
+class LoadReported:
     """A server tells what a tunnel asks of it."""
 
     client: int
@@ -60,38 +60,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Slow:
+class ServerSlow:
     """A server took so long to bring something back on an open tunnel, or has brought nothing so far."""
 
     client: int
-    span: float
+    duration: float
     silent: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeEnded:
     server: str
     ending: Ending
     report: Report
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """Discovery has answered. `wall`: the wall clock then, in Unix seconds; None: as the process's clock."""
+class ListReceived:
+    """Discovery has answered. `wall_clock`: the wall clock then, in Unix seconds; None: as the process's
+    clock."""
 
-    listing: Listing
-    wall: float | None = None
+    server_list: ServerList
+    wall_clock: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class ListFailed:
+class ListRequestFailed:
     """A call to discovery has failed. `silent`: a watch of which nothing came, its wait long over."""
 
     silent: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Reloaded:
+class SettingsReloaded:
     """The start-up file was read again."""
 
     discovery: tuple[str, int]
@@ -99,16 +100,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tick:
+class TimerDue:
     """A timer is due."""
 
 
 @dataclass(frozen=True, slots=True)
-class Stopping:
+class StopRequested:
     """This balancer is to stop, or goes on stopping."""
 
 
 Event = (
-    Arrived | Left | Dialled | Opened | Ended | Weighed | Slow | Probed | Told | ListFailed | Reloaded | Tick
-    | Stopping
+    ClientArrived | ClientLeft | SetupConnected | SetupOpened | SetupEnded | LoadReported | ServerSlow
+    | ProbeEnded | ListReceived | ListRequestFailed | SettingsReloaded | TimerDue | StopRequested
 )  # fmt: skip
--- a/pointgw/net/memory/guard.py
+++ b/pointgw/net/memory/guard.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from pointgw.interface import Ending, Listed, Profile
-from pointgw.net.invariant import invariant
+from pointgw.interface import Ending, Profile, ServerEntry
+from pointgw.net.invariant import check_invariant
 
 NEVER_RAN: frozenset[Ending] = frozenset(("full", "no-connection", "moot"))
 
@@ -62,7 +62,7 @@
 
     # What has happened.
 
-    def listed(self, lines: Iterable[Listed], whole: bool) -> None:
+    def listed(self, lines: Iterable[ServerEntry], whole: bool) -> None:
         """A list, or changes to it."""
         named = set()
         for line in lines:
@@ -127,10 +127,10 @@
         first = next((sent for sent in known.sent.values() if sent.may_have_run), None)
         if first is None or profile.semantics == "repeatable":
             return True
-        if profile.semantics == "once-only" or now >= first.at + profile.window:
+        if profile.semantics == "once-only" or now >= first.at + profile.dedup_window:
             return False
         (zone, cell), (first_zone, first_cell) = self.groups[server], self.groups[first.server]
-        return {"all": True, "zone": zone == first_zone, "cell": cell == first_cell}[profile.group]
+        return {"all": True, "zone": zone == first_zone, "cell": cell == first_cell}[profile.dedup_scope]
 
     @staticmethod
     def _may_refuse(known: GuardedRequest) -> bool:
@@ -138,9 +138,9 @@
         if not any(sent.may_have_run for sent in known.sent.values()):
             return True
         return profile.semantics == "repeatable" or (
-            profile.semantics == "referenced" and profile.group == "all"
+            profile.semantics == "referenced" and profile.dedup_scope == "all"
         )
 
     @staticmethod
     def _holds(condition: bool, violation: Violation) -> bool:
-        return invariant(condition, violation.value)
+        return check_invariant(condition, violation.value)
--- a/pointgw/net/memory/reducer.py
+++ b/pointgw/net/memory/reducer.py
@@ -12,34 +12,34 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from pointgw.interface import Ending, Listed, Report
-from pointgw.net.invariant import invariant
+from pointgw.interface import Ending, Report, ServerEntry
+from pointgw.net.invariant import check_invariant
 from pointgw.net.memory import effects as fx
 from pointgw.net.memory.events import (
-    Arrived,
-    Dialled,
-    Ended,
+    ClientArrived,
+    ClientLeft,
     Event,
-    Left,
-    ListFailed,
-    Opened,
-    Probed,
-    Reloaded,
-    Slow,
-    Stopping,
-    Tick,
-    Told,
-    Weighed,
+    ListReceived,
+    ListRequestFailed,
+    LoadReported,
+    ProbeEnded,
+    ServerSlow,
+    SettingsReloaded,
+    SetupConnected,
+    SetupEnded,
+    SetupOpened,
+    StopRequested,
+    TimerDue,
 )
 from pointgw.net.memory.guard import DeliveryGuard
 from pointgw.net.memory.start_times import StartTimes
-from pointgw.net.wire.lines import Decline, Failure, Opening
-from pointgw.net.wire.listing import Listing
-from pointgw.net.wire.start import Start
+from pointgw.net.wire.lines import Decline, Failure, OpenRequest
+from pointgw.net.wire.listing import ServerList
+from pointgw.net.wire.start import StartUpSettings
 from pointgw.policy import Balancer, Server, State, Tunnel
 
 if TYPE_CHECKING:
-    from pointgw.state.recall import Recalled, Roster
+    from pointgw.state.recall import MembershipView, RestoredState
 
 PUSHED_AGAIN = 0.25  # of the grace after a telling: the pause after a failed call, where lists are pushed
 # Seconds after which what a discovery in reach has counts as told, whatever failed before; and after the wait
@@ -69,10 +69,10 @@
     """One client connection that has asked for a tunnel."""
 
     number: int
-    opening: Opening
-    tun: Tunnel
-    came: float
-    standing: Server | None = None  # where its tunnel stood before the run, until it is up
+    opening: OpenRequest
+    tunnel: Tunnel
+    arrived_at: float
+    previous_server: Server | None = None  # where its tunnel stood before the run, until it is up
     answered: bool = False  # it got its final answer, or is gone
 
 
@@ -81,319 +81,327 @@
 
     def __init__(
         self,
-        start: Start,
+        start: StartUpSettings,
         now: float,
         policy: type[Balancer] = Balancer,
-        roster: Roster | None = None,
-        recalled: Recalled | None = None,
+        membership: MembershipView | None = None,
+        recalled: RestoredState | None = None,
     ) -> None:
-        self.roster = roster  # what a memory keeps; None: nothing is kept
+        self.membership = membership  # what a memory keeps; None: nothing is kept
         self.on_declined: Callable[[Tunnel], None] | None = None  # the tier counts them
         self.effects: list[fx.Effect] = []
         self.later: list[tuple[Tunnel, int, Ending]] = []  # ends that follow from what was asked for
         self.clients: dict[int, Client] = {}
-        self.of: dict[Tunnel, Client] = {}
+        self.client_of: dict[Tunnel, Client] = {}
         self.addresses: dict[str, fx.Address] = {}
-        self.index: int | None = start.known.index
+        self.index: int | None = start.known_list.index
         self.discovery = start.discovery
         self.called: set[str] = set()  # the names of those in `clients`
         self.asking = False
         self.wake_at = inf
         self.now = now
-        self.stop_at = inf  # when the signal to stop came
+        self.stop_requested_at = inf  # when the signal to stop came
         self.moved_at = -inf  # when tunnels were last moved off since
         self.exiting = False  # the last of it was asked for
         self.profiles = {name: i for i, name in enumerate(start.profiles)}
         self.tenants = {name: i for i, name in enumerate(start.tenants)}
-        self.connect_within = start.connect_within
-        self.hold = HOLD * start.site.ask_every
+        self.connect_timeout = start.connect_timeout
+        self.hold = HOLD * start.site.list_poll_interval
         self.pause = PAUSE_FIRST  # after the next call that fails
         self.waits, self.calls_at = False, now  # whether the last call may wait; when it went out
         # Rule 3: what a list that is pushed has to tell counts at once, so it is asked for without a pause.
-        self.pushed = not start.site.asks
-        self.again_after = max(PUSHED_AGAIN * start.stop_sending, start.site.grain, LEAST)
-        self.longest = max(p.client_timeout for p in start.site.profiles)
-        self.stop_within = min(self.longest, LONGEST) + KILL_AFTER - SPARE
+        self.list_is_pushed = not start.site.list_is_polled
+        self.again_after = max(PUSHED_AGAIN * start.drain_grace, start.site.timer_resolution, LEAST)
+        self.max_client_timeout = max(p.client_timeout for p in start.site.profiles)
+        self.stop_time_limit = min(self.max_client_timeout, LONGEST) + KILL_AFTER - SPARE
         rng = Random(start.seed)
         self.uniform = rng.uniform
-        self.balancer = policy(replace(start.site, asks=True), self, rng, now)
-        self.probe_within = self.balancer.goal / 2
-        self.start_times = StartTimes(start.site.cold_time)
-        self.guard = DeliveryGuard(start.site.drain_binds_alone)
+        self.balancer = policy(replace(start.site, list_is_polled=True), self, rng, now)
+        self.probe_timeout = self.balancer.attempt_timeout / 2
+        self.start_times = StartTimes(start.site.warm_up_window)
+        self.guard = DeliveryGuard(start.site.only_draining_excludes)
         if recalled is None:
-            self._list(start.known, True, now)
+            self._list(start.known_list, True, now)
         else:
             self.index = None  # the whole list is asked for: who else counts its versions is not known
-            self._list(Listing(0, True, recalled.lines, recalled.addresses), True, now)
+            self._list(ServerList(0, True, recalled.lines, recalled.addresses), True, now)
 
-    def take(self, event: Event, now: float) -> list[fx.Effect]:
+    def dispatch(self, event: Event, now: float) -> list[fx.Effect]:
         """The one entry: changes the state and gives the effects, in order."""
         self.now = now
         match event:
-            case Arrived():
+            case ClientArrived():
                 self._arrived(event)
-            case Left():
+            case ClientLeft():
                 self._left(event)
-            case Dialled():
+            case SetupConnected():
                 self._dialled(event)
-            case Opened():
+            case SetupOpened():
                 self._opened(event)
-            case Ended():
+            case SetupEnded():
                 self._ended(event)
-            case Weighed():
+            case LoadReported():
                 if event.client in self.clients:
-                    self.balancer.load_noted(self.clients[event.client].tun, event.load.load / 1e6, now)
-            case Slow():
+                    self.balancer.record_load(self.clients[event.client].tunnel, event.load.load / 1e6, now)
+            case ServerSlow():
                 self._slow(event)
-            case Probed():
-                if self.roster is not None and event.ending == "ok":
-                    self.roster.saw(event.server, now)
-                self.balancer.probed(self.balancer.servers[event.server], event.ending, event.report, now)
-            case Told():
+            case ProbeEnded():
+                if self.membership is not None and event.ending == "ok":
+                    self.membership.confirm_alive(event.server, now)
+                self.balancer.probe_ended(
+                    self.balancer.servers[event.server], event.ending, event.report, now
+                )
+            case ListReceived():
                 self._told(event)
-            case ListFailed():
+            case ListRequestFailed():
                 self._list_failed(event)
-            case Reloaded():
+            case SettingsReloaded():
                 self._reloaded(event)
-            case Tick():
+            case TimerDue():
                 self._tick()
-            case Stopping():
+            case StopRequested():
                 self._stopping()
         while self.later:
             tun, number, ending = self.later.pop(0)
             self._over(tun, number, ending, True, {})
-        return self.given()
+        return self.take_effects()
 
-    def given(self) -> list[fx.Effect]:
+    def take_effects(self) -> list[fx.Effect]:
         effects, self.effects = self.effects, []
         return effects
 
     # Clients.
 
-    def _arrived(self, event: Arrived) -> None:
+    def _arrived(self, event: ClientArrived) -> None:
         opening, now = event.opening, self.now
         profile = self.profiles.get(opening.profile)
-        if not invariant(event.client not in self.clients, "a client arrives once"):
+        if not check_invariant(event.client not in self.clients, "a client arrives once"):
             return
         # Guards against the name of another client's tunnel: servers fail it, and would seem to be at fault.
         taken = opening.name in self.called
-        if profile is None or taken or (opening.at and opening.at not in self.balancer.servers):
+        if (
+            profile is None
+            or taken
+            or (opening.current_server and opening.current_server not in self.balancer.servers)
+        ):
             why = "unknown_class" if profile is None else "id_in_use" if taken else "unknown_server"
             self.effects.append(fx.Reply(event.client, Failure(), why))
             return
-        if now >= self.stop_at + ARRIVE_ON or self.exiting:
+        if now >= self.stop_requested_at + ARRIVE_ON or self.exiting:
             self.effects.append(fx.Reply(event.client, Decline(0.0), "stopping"))
             return
-        patience = opening.patience
+        patience = opening.remaining_time
         timeout = self.balancer.profiles[profile].client_timeout
         patience = timeout if patience is None else min(patience, timeout)
-        tun = self.balancer.tunnel(
+        tun = self.balancer.new_tunnel(
             opening.name, profile, self.tenants.get(opening.tenant, 0), opening.key, opening.group,
-            now + patience, opening.back,
+            now + patience, opening.is_returning,
         )  # fmt: skip
         client = Client(event.client, opening, tun, now)
-        self.clients[event.client] = self.of[tun] = client
+        self.clients[event.client] = self.client_of[tun] = client
         self.called.add(opening.name)
-        if opening.at:
-            client.standing = self.balancer.servers[opening.at]
+        if opening.current_server:
+            client.previous_server = self.balancer.servers[opening.current_server]
             self._stand(client, 0.0)
         else:
             self.guard.arrived(event.client, tun.profile, now + patience)
-            self.balancer.arrived(tun, False, now)
+            self.balancer.tunnel_arrived(tun, False, now)
 
     def _stand(self, client: Client, after: float) -> None:
         """A tunnel that stood before the run goes to its server, whatever the module would choose."""
-        assert client.standing is not None
-        address = self.addresses[client.standing.name]
+        assert client.previous_server is not None
+        address = self.addresses[client.previous_server.name]
         self.effects.append(
             fx.Connect(client.number, 0, address, client.opening, None, STANDING, STANDING, after)
         )
 
-    def _left(self, event: Left) -> None:
+    def _left(self, event: ClientLeft) -> None:
         client = self.clients.get(event.client)
         if client is None:
             return
         client.answered = True
         self.guard.left(event.client)
-        tun = client.tun
+        tun = client.tunnel
         was_open = tun.state is State.OPEN
-        self.balancer.left(tun, self.now)
-        if client.standing is not None:
-            self.effects.append(fx.Drop(client.number, 0, event.reset))
-            client.standing = None
+        self.balancer.client_left(tun, self.now)
+        if client.previous_server is not None:
+            self.effects.append(fx.AbandonSetup(client.number, 0, event.reset))
+            client.previous_server = None
         elif was_open:
             number = len(tun.setups) - 1
-            self.effects.append(fx.Drop(client.number, number, event.reset))
+            self.effects.append(fx.AbandonSetup(client.number, number, event.reset))
             self.later.append((tun, number, "cancelled"))
         self._forget_done(client)
 
     def _forget_done(self, client: Client) -> None:
-        if client.tun.done and client.standing is None:
-            invariant(client.answered, "a tunnel ends with a final answer")
+        if client.tunnel.is_finished and client.previous_server is None:
+            check_invariant(client.answered, "a tunnel ends with a final answer")
             self.clients.pop(client.number, None)
-            self.of.pop(client.tun, None)
+            self.client_of.pop(client.tunnel, None)
             self.guard.forget(client.number)
             self.called.discard(client.opening.name)
 
     # Setups.
 
-    def _dialled(self, event: Dialled) -> None:
+    def _dialled(self, event: SetupConnected) -> None:
         """What was decided before the dial is looked at again: the client, the list and the clock went on."""
         client = self.clients.get(event.client)
-        if client is not None and client.standing is None:
-            tun, number = client.tun, event.setup
-            server = tun.setups[number].ep.name
-            may_write = self.balancer.may_write(tun, number, self.now)
+        if client is not None and client.previous_server is None:
+            tun, number = client.tunnel, event.setup
+            server = tun.setups[number].server.name
+            may_write = self.balancer.may_write_request(tun, number, self.now)
             if not may_write or not self.guard.may_send(event.client, number, server, self.now):
-                self.effects.append(fx.Drop(event.client, number))
-                if tun.setups[number].out:
+                self.effects.append(fx.AbandonSetup(event.client, number))
+                if tun.setups[number].in_progress:
                     self._over(tun, number, "moot", False, {})
                 return
         elif client is None:
-            self.effects.append(fx.Drop(event.client, event.setup))
+            self.effects.append(fx.AbandonSetup(event.client, event.setup))
             return
-        self.effects.append(fx.Write(event.client, event.setup))
+        self.effects.append(fx.WriteRequest(event.client, event.setup))
 
-    def _opened(self, event: Opened) -> None:
+    def _opened(self, event: SetupOpened) -> None:
         client = self.clients.get(event.client)
         if client is None:
-            self.effects.append(fx.Drop(event.client, event.setup))
+            self.effects.append(fx.AbandonSetup(event.client, event.setup))
             return
-        tun = client.tun
-        if client.standing is not None:
-            ep, client.standing = client.standing, None
-            self.balancer.inherited(tun, ep, self.now)
+        tun = client.tunnel
+        if client.previous_server is not None:
+            ep, client.previous_server = client.previous_server, None
+            self.balancer.tunnel_inherited(tun, ep, self.now)
         else:
-            self.balancer.opened(tun, event.setup, self.now)
+            self.balancer.setup_opened(tun, event.setup, self.now)
         if tun.state is State.OPEN and event.setup == len(tun.setups) - 1:
             client.answered = True
             self.guard.answered(client.number)
-            self.effects.append(fx.Join(client.number, event.setup))
+            self.effects.append(fx.RelayTunnel(client.number, event.setup))
         else:  # given up meanwhile
-            self.effects.append(fx.Drop(client.number, event.setup))
+            self.effects.append(fx.AbandonSetup(client.number, event.setup))
             self.later.append((tun, event.setup, "cancelled"))
 
-    def _ended(self, event: Ended) -> None:
+    def _ended(self, event: SetupEnded) -> None:
         client = self.clients.get(event.client)
         if client is None:
             return
-        tun, ending = client.tun, event.closing.ending
-        if client.standing is not None:
-            if self.now - client.came < STANDING:
+        tun, ending = client.tunnel, event.closing.ending
+        if client.previous_server is not None:
+            if self.now - client.arrived_at < STANDING:
                 self._stand(client, AGAIN)
             else:
-                client.standing = None
-                self.balancer.left(tun, self.now)
+                client.previous_server = None
+                self.balancer.client_left(tun, self.now)
                 self._answer(client, Failure(), "standing_lost")
             return
         was_open = tun.state is State.OPEN
         if was_open:
-            self.effects.append(fx.End(client.number, event.reset))
+            self.effects.append(fx.CloseClient(client.number, event.reset))
         self._over(tun, event.setup, ending, was_open, event.closing.report)
 
     def _over(self, tun: Tunnel, number: int, ending: Ending, closed: bool, report: Report) -> None:
-        client = self.of.get(tun)
+        client = self.client_of.get(tun)
         if client is None:
             return
-        if not invariant(number < len(tun.setups) and tun.setups[number].out, "a setup ends once"):
+        if not check_invariant(
+            number < len(tun.setups) and tun.setups[number].in_progress, "a setup ends once"
+        ):
             return
         self.guard.ended(client.number, number, ending)
-        self.balancer.ended(tun, number, ending, closed, report, self.now)
+        self.balancer.setup_ended(tun, number, ending, closed, report, self.now)
         self._forget_done(client)
 
-    def _slow(self, event: Slow) -> None:
+    def _slow(self, event: ServerSlow) -> None:
         client = self.clients.get(event.client)
-        if client is None or client.tun.state is not State.OPEN:
+        if client is None or client.tunnel.state is not State.OPEN:
             return
         if event.silent:
-            self.balancer.silent(client.tun, event.span, self.now)
+            self.balancer.record_silence(client.tunnel, event.duration, self.now)
         else:
-            self.balancer.delay_noted(client.tun, event.span, self.now)
+            self.balancer.record_delay(client.tunnel, event.duration, self.now)
 
     # The list and the clock.
 
-    def _told(self, event: Told) -> None:
-        self.asking, self.index, self.pause = False, event.listing.index, PAUSE_FIRST
+    def _told(self, event: ListReceived) -> None:
+        self.asking, self.index, self.pause = False, event.server_list.index, PAUSE_FIRST
         self._ask(self.hold)  # first, so that the watch goes on whatever the list holds
-        self._list(event.listing, False, self.now if event.wall is None else event.wall)
+        self._list(event.server_list, False, self.now if event.wall_clock is None else event.wall_clock)
 
-    def _list_failed(self, event: ListFailed) -> None:
+    def _list_failed(self, event: ListRequestFailed) -> None:
         """Rule 3: asked again before what discovery has counts as told, apart from the others by chance."""
         self.asking = False
-        if self.pushed:
+        if self.list_is_pushed:
             self._ask(0.0, self.again_after)
         elif event.silent:  # what it missed soon counts as told, so at once
             self._ask(0.0)
         else:
-            self.balancer.list_failed(self.now)
+            self.balancer.list_request_failed(self.now)
             began = self.now if self.waits else self.calls_at  # a watch had told all until it broke
             left = max(0.0, began + NEXT_CALL - self.now)
             self._ask(0.0, min(self.pause, left) * self.uniform(0.5, 1.0))
             self.pause = min(2 * self.pause, NEXT_CALL)
 
-    def _reloaded(self, event: Reloaded) -> None:
+    def _reloaded(self, event: SettingsReloaded) -> None:
         """Another discovery may count its versions anew, so the whole list is asked for."""
         if event.discovery != self.discovery:
             self.discovery, self.index, self.asking = event.discovery, None, False
             self.pause = PAUSE_FIRST  # that the one before was out of reach says nothing of this one
-            self.effects.append(fx.Turn(event.discovery, event.names))
+            self.effects.append(fx.SwitchDiscovery(event.discovery, event.names))
             self._ask(0.0)
 
-    def _list(self, listing: Listing, cached: bool, wall: float) -> None:
+    def _list(self, listing: ServerList, cached: bool, wall: float) -> None:
         for name, host, port in listing.addresses:
             self.addresses[name] = (host, port)
-        lines: Iterable[Listed] = listing.servers
-        if self.roster is not None and not cached:
-            lines = self.roster.hear(lines, listing.addresses, listing.whole, self.now)
-        before = self.balancer.live
+        lines: Iterable[ServerEntry] = listing.servers
+        if self.membership is not None and not cached:
+            lines = self.membership.apply_list(lines, listing.addresses, listing.is_full, self.now)
+        before = self.balancer.active_servers
         lines = self.start_times.translate(lines, self.now, wall, not cached)
         lines = [line if line.server in self.addresses else line._replace(state="leaving") for line in lines]
-        self.guard.listed(lines, listing.whole)
-        self.balancer.listed(lines, listing.whole, cached, self.now)
-        if before is not self.balancer.live:
+        self.guard.listed(lines, listing.is_full)
+        self.balancer.update_servers(lines, listing.is_full, cached, self.now)
+        if before is not self.balancer.active_servers:
             self.effects.extend(fx.ForgetServer(server.name) for server in before if not server.active)
 
     def _ask(self, hold: float, after: float = 0.0) -> None:
         if not self.asking:
             self.asking, self.waits, self.calls_at = True, hold > 0.0, self.now + after
-            self.effects.append(fx.Ask(self.index, hold, after))
+            self.effects.append(fx.RequestList(self.index, hold, after))
 
     def _tick(self) -> None:
         if self.now < self.wake_at:
             if self.wake_at < inf:
-                self.effects.append(fx.Wake(self.wake_at - self.now))
+                self.effects.append(fx.SetTimer(self.wake_at - self.now))
             return
         self.wake_at = inf
-        self.balancer.tick(self.now)
+        self.balancer.timer_due(self.now)
 
     def _stopping(self) -> None:
         """Moves all tunnels off, once no new connections come, evenly over the time that is left; then
         answers the rest. However late it is called, the last round is not left out. Guards the servers, and
         what all of them ask at a setup, against a part of the fleet that stops at one moment, each with few
         tunnels: these moved in the first rounds. It hurts nobody but by an end that comes later."""
-        self.stop_at = min(self.stop_at, self.now)
-        left = self.stop_at + self.stop_within - self.now
+        self.stop_requested_at = min(self.stop_requested_at, self.now)
+        left = self.stop_requested_at + self.stop_time_limit - self.now
         rounds = max(1, int((left - LAST) / STEP))
         if self.exiting:
             return
-        if self.now < self.stop_at + ARRIVE_ON and rounds > 1:
-            self.effects.append(fx.StopIn(STEP))
+        if self.now < self.stop_requested_at + ARRIVE_ON and rounds > 1:
+            self.effects.append(fx.ScheduleStop(STEP))
             return
-        self.effects.append(fx.EndIdle())
-        standing = [c for c in self.clients.values() if c.tun.state is State.OPEN]
+        self.effects.append(fx.CloseIdleClients())
+        standing = [c for c in self.clients.values() if c.tunnel.state is State.OPEN]
         for client in standing[: self._by_chance(len(standing) / rounds)]:
-            self.balancer.left(client.tun, self.now)
-            self.move(client.tun)
+            self.balancer.client_left(client.tunnel, self.now)
+            self.migrate(client.tunnel)
             self.moved_at = self.now
         if rounds == 1:
-            for client in [c for c in self.clients.values() if c.tun.state is not State.OPEN]:
+            for client in [c for c in self.clients.values() if c.tunnel.state is not State.OPEN]:
                 self._turn_away(client)
-        quiet = self.now >= max(self.stop_at + ARRIVE_ON, self.moved_at) + LAST
-        if rounds == 1 or (quiet and all(c.tun.state is State.ENDED for c in self.clients.values())):
+        quiet = self.now >= max(self.stop_requested_at + ARRIVE_ON, self.moved_at) + LAST
+        if rounds == 1 or (quiet and all(c.tunnel.state is State.ENDED for c in self.clients.values())):
             self.exiting = True
-            self.effects.append(fx.Exit(max(left, 0.0)))
+            self.effects.append(fx.ExitProcess(max(left, 0.0)))
         else:
-            self.effects.append(fx.StopIn(STEP))
+            self.effects.append(fx.ScheduleStop(STEP))
 
     def _by_chance(self, mean: float) -> int:
         """The whole number under `mean`, or the one over it, so that it is that on the mean."""
@@ -401,38 +409,38 @@
 
     def _turn_away(self, client: Client) -> None:
         """The final answer of a tunnel that this balancer has no time left for."""
-        harmless = self.balancer.may_decline(client.tun)
-        if client.standing is not None:
-            client.standing = None
-            self.effects.append(fx.Drop(client.number, 0))
-        self.balancer.left(client.tun, self.now)
+        harmless = self.balancer.may_decline(client.tunnel)
+        if client.previous_server is not None:
+            client.previous_server = None
+            self.effects.append(fx.AbandonSetup(client.number, 0))
+        self.balancer.client_left(client.tunnel, self.now)
         if not client.answered:
             self._answer(client, Decline(0.0) if harmless else Failure(), "stopping")
 
     # What the module asks for (`pointgw.interface.Host`).
 
     def setup(self, tun: Tunnel, ep: Server, patience: float) -> None:
-        client, number, address = self.of[tun], len(tun.setups) - 1, self.addresses[ep.name]
-        tun.setups[number].may_have_run = False  # until it is written: `may_write`
-        within = min(self.connect_within, patience)
+        client, number, address = self.client_of[tun], len(tun.setups) - 1, self.addresses[ep.name]
+        tun.setups[number].may_have_run = False  # until it is written: `may_write_request`
+        within = min(self.connect_timeout, patience)
         self.effects.append(
             fx.Connect(client.number, number, address, client.opening, patience, patience, within)
         )
 
     def cancel(self, tun: Tunnel, number: int) -> None:
-        self.effects.append(fx.Drop(self.of[tun].number, number))
+        self.effects.append(fx.AbandonSetup(self.client_of[tun].number, number))
         self.later.append((tun, number, "cancelled" if tun.setups[number].may_have_run else "moot"))
 
     def decline(self, tun: Tunnel, come_back: float) -> None:
         if self.on_declined is not None:
             self.on_declined(tun)
-        self._answer(self.of[tun], Decline(come_back), tun.why)
+        self._answer(self.client_of[tun], Decline(come_back), tun.refusal_reason)
 
     def close_with_error(self, tun: Tunnel) -> None:
-        self._answer(self.of[tun], Failure(), tun.why)
+        self._answer(self.client_of[tun], Failure(), tun.refusal_reason)
 
     def _answer(self, client: Client, answer: Decline | Failure, why: str) -> None:
-        if invariant(not client.answered, "a tunnel gets one final answer"):
+        if check_invariant(not client.answered, "a tunnel gets one final answer"):
             client.answered = True
             if isinstance(answer, Decline) and not self.guard.may_refuse(client.number):
                 answer = Failure()
@@ -440,36 +448,36 @@
             self.effects.append(fx.Reply(client.number, answer, why))
             self._forget_done(client)
 
-    def move(self, tun: Tunnel) -> None:
+    def migrate(self, tun: Tunnel) -> None:
         number = len(tun.setups) - 1
-        self.effects.append(fx.Move(self.of[tun].number, number))
+        self.effects.append(fx.MigrateClient(self.client_of[tun].number, number))
         self.later.append((tun, number, "cancelled"))
 
     def probe(self, ep: Server) -> None:
         address = self.addresses[ep.name]
-        self.effects.append(fx.Probe(ep.name, address, self.probe_within, self.connect_within))
+        self.effects.append(fx.Probe(ep.name, address, self.probe_timeout, self.connect_timeout))
 
-    def watch(self) -> None:
+    def watch_list(self) -> None:
         self._ask(0.0)
 
-    def timer(self, delay: float) -> None:
+    def set_timer(self, delay: float) -> None:
         if self.now + delay < self.wake_at:
             self.wake_at = self.now + delay
-            self.effects.append(fx.Wake(delay))
+            self.effects.append(fx.SetTimer(delay))
 
     # For the log.
 
     def figures(self) -> dict[str, object]:
         """How things stand."""
-        states = [client.tun.state for client in self.clients.values()]
-        live = self.balancer.live
+        states = [client.tunnel.state for client in self.clients.values()]
+        live = self.balancer.active_servers
         declined = {f"declined_{why}": count for why, count in self.balancer.declined.items()}
         return declined | {
             "open": states.count(State.OPEN),
             "setting_up": states.count(State.SETTING_UP),
-            "held": states.count(State.HELD) + states.count(State.ASKING),
+            "held": states.count(State.QUEUED) + states.count(State.PROBING),
             "servers": len(live),
-            "suspended": sum(ep.out_until > self.now for ep in live),
+            "suspended": sum(ep.ejected_until > self.now for ep in live),
             "cold": sum(ep.warm_at > self.now for ep in live),
             "c": float(self.balancer.c),
             "watching": self.balancer.watching,
--- a/pointgw/net/memory/start_times.py
+++ b/pointgw/net/memory/start_times.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable, Iterator
 
-from pointgw.interface import Listed
+from pointgw.interface import ServerEntry
 from pointgw.net.wire.listing import UNUSABLE
 
 LONG_AGO = 0.0  # told for a server that is not starting
@@ -26,7 +26,9 @@
         self.told: dict[str, tuple[float, float]] = {}  # by server: the start as told, and as translated
         self.heard_at: float | None = None  # when discovery told a list last; None: never yet
 
-    def translate(self, lines: Iterable[Listed], now: float, wall: float, heard: bool) -> Iterator[Listed]:
+    def translate(
+        self, lines: Iterable[ServerEntry], now: float, wall: float, heard: bool
+    ) -> Iterator[ServerEntry]:
         """Lines with their starts on this process's clock, which shows `now` as the wall clock shows `wall`.
 
         `heard`: discovery has told them just now; False: they are of the start-up file.
@@ -34,10 +36,13 @@
         since, self.heard_at = self.heard_at, now if heard else self.heard_at
         for line in lines:
             known = self.told.get(line.server)
-            if known is None or known[0] != line.started:
-                known = line.started, self._first_heard(line.started, known is not None, now, wall, since)
+            if known is None or known[0] != line.started_at:
+                known = (
+                    line.started_at,
+                    self._first_heard(line.started_at, known is not None, now, wall, since),
+                )
                 self.told[line.server] = known
-            yield line if known[1] == line.started else line._replace(started=known[1])
+            yield line if known[1] == line.started_at else line._replace(started_at=known[1])
 
     def _first_heard(
         self, told: float, restarted: bool, now: float, wall: float, since: float | None
--- a/pointgw/net/run/daemon.py
+++ b/pointgw/net/run/daemon.py
@@ -9,7 +9,7 @@
 from pointgw import early
 from pointgw.net.run import log
 from pointgw.net.run.node import run
-from pointgw.net.wire.start import Start, start
+from pointgw.net.wire.start import StartUpSettings, parse_start_up_file
 from pointgw.policy import Balancer
 from pointgw.site import Malformed
 
@@ -21,8 +21,8 @@
     """
     log.begin(os.environ.get("POINTGW_LOG", "info").upper())
 
-    def read() -> Start:
-        return start(Path(config).read_bytes())
+    def read() -> StartUpSettings:
+        return parse_start_up_file(Path(config).read_bytes())
 
     early.begin()
     try:
@@ -32,29 +32,29 @@
         return 2
     operators = None
     if operator is not None:
-        from pointgw.net.run.operated import Operated  # nothing of it is loaded without the file
+        from pointgw.net.run.operated import OperatorFile  # nothing of it is loaded without the file
 
-        operators = Operated.begin(operator)
+        operators = OperatorFile.begin(operator)
         if operators is None:
             return 2
     remembering = None
-    if operators is not None and operators.told.state is not None:
-        from pointgw.net.run.remembering import Remembering
+    if operators is not None and operators.settings.state is not None:
+        from pointgw.net.run.remembering import SnapshotRunner
 
-        kept = operators.told.state
-        remembering = Remembering.begin(kept.folder, told, kept.boot)
+        kept = operators.settings.state
+        remembering = SnapshotRunner.begin(kept.folder, told, kept.boot)
     tiering = None
-    if operators is not None and operators.told.tier is not None:
-        from pointgw.net.run.tiering import Tiering
+    if operators is not None and operators.settings.tier is not None:
+        from pointgw.net.run.tiering import ClusterRunner
 
-        tiering = Tiering.begin(operators.told.tier, told)
+        tiering = ClusterRunner.begin(operators.settings.tier, told)
         if tiering is None:
             return 2
     recovering = None
-    if operators is not None and operators.told.recovery is not None:
-        from pointgw.net.run.recovering import Recovering
+    if operators is not None and operators.settings.recovery is not None:
+        from pointgw.net.run.recovering import RecoveryRunner
 
-        recovering = Recovering.begin(operators.told.recovery, told)
+        recovering = RecoveryRunner.begin(operators.settings.recovery, told)
         if recovering is None:
             return 2
     try:
--- a/pointgw/net/run/discovery.py
+++ b/pointgw/net/run/discovery.py
@@ -7,15 +7,15 @@
 import time
 from typing import TYPE_CHECKING
 
-from pointgw.net.memory.effects import Ask
-from pointgw.net.memory.events import ListFailed, Told
+from pointgw.net.memory.effects import RequestList
+from pointgw.net.memory.events import ListReceived, ListRequestFailed
 from pointgw.net.memory.reducer import ANSWER, REACHED
 from pointgw.net.run.link import Link
 from pointgw.net.wire import listing
 from pointgw.site import Malformed
 
 if TYPE_CHECKING:
-    from pointgw.net.run.node import Node
+    from pointgw.net.run.node import BalancerProcess
 
 _log = logging.getLogger("pointgw.discovery")
 
@@ -25,25 +25,25 @@
 
     __slots__ = ("address", "asked", "failing", "link", "names", "node", "response", "task", "timer")
 
-    def __init__(self, node: Node, address: tuple[str, int], names: listing.Names) -> None:
+    def __init__(self, node: BalancerProcess, address: tuple[str, int], names: listing.Names) -> None:
         self.node, self.address, self.names = node, address, names
-        self.asked: Ask | None = None
+        self.asked: RequestList | None = None
         self.link: Link | None = None  # the one connection whose bytes count
         self.response = listing.Response()  # what comes on it
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
         self.failing = False  # the last call failed, and the log says so
 
-    def ask(self, asked: Ask) -> None:
+    def ask(self, asked: RequestList) -> None:
         self.asked = asked
-        if asked.after:
-            self.timer = self.node.loop.call_later(asked.after, self._go, asked)
+        if asked.delay:
+            self.timer = self.node.loop.call_later(asked.delay, self._go, asked)
         else:
             self._go(asked)
 
-    def _go(self, asked: Ask) -> None:
-        within = asked.hold + REACHED if asked.hold else ANSWER
-        self.timer = self.node.loop.call_later(within, self.failed, "no answer", asked.hold > 0)
+    def _go(self, asked: RequestList) -> None:
+        within = asked.wait + REACHED if asked.wait else ANSWER
+        self.timer = self.node.loop.call_later(within, self.failed, "no answer", asked.wait > 0)
         if self.link is not None:
             self.up()
         else:
@@ -61,7 +61,7 @@
     def up(self) -> None:
         assert self.asked is not None and self.link is not None
         host = f"{self.address[0]}:{self.address[1]}"
-        self.link.send(listing.request(host, self.asked.version, self.asked.hold))
+        self.link.send(listing.list_request(host, self.asked.version, self.asked.wait))
 
     def heard(self, data: bytes) -> None:
         try:
@@ -86,7 +86,7 @@
             self.failed(f"status {response.status}")
             return
         try:
-            told = listing.body(bytes(response.data), self.names)
+            told = listing.parse_server_list_body(bytes(response.data), self.names)
         except Malformed as fault:
             self.failed(str(fault))
             return
@@ -94,7 +94,7 @@
         if told.unusable:
             self.node.refused("list entry", f"{told.unusable} that can't be used")
         self.over(keep=response.keeps_alive)
-        self.node.feed(Told(told, time.time()))
+        self.node.feed(ListReceived(told, time.time()))
 
     def failed(self, why: str, silent: bool = False) -> None:
         """Whatever was wrong, a call fails once, and its connection goes with it. `silent`: a watch of which
@@ -105,7 +105,7 @@
         self.over(keep=False)
         (_log.debug if self.failing else _log.warning)("call failed", extra={"fields": {"why": why}})
         self.failing = True
-        self.node.feed(ListFailed(silent))
+        self.node.feed(ListRequestFailed(silent))
 
     def over(self, keep: bool) -> None:
         """No call is out any more."""
--- a/pointgw/net/run/life.py
+++ b/pointgw/net/run/life.py
@@ -1,8 +1,9 @@
 """A connection's life: its stages, and what each step says of the request on it. No I/O.
 
 A client's connection rests until its line has come; then the tunnel is asked for, joined to its server's, and
-ended. A server's is dialled, written to, answered and joined. `Life.to` is the one place where a stage
-changes; that the request was written is known from the step that writes it and from nothing else.
+ended. A server's is dialled, written to, answered and joined. `ConnectionLifecycle.transition_to` is the
+one place where a stage changes; that the request was written is known from the step that writes it and from
+nothing else.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from pointgw.interface import Ending
 
 
-class Stage(Enum):
+class ConnectionState(Enum):
     """Where a connection stands."""
 
     IDLE = "idle"  # a client's: nothing was asked for
@@ -25,7 +26,7 @@
     ENDED = "ended"
 
 
-class Known(Enum):
+class DeliveryState(Enum):
     """What is known of the request on a server's connection."""
 
     NOT_SENT = "not sent"
@@ -34,42 +35,42 @@
 
 
 NEXT = {
-    Stage.IDLE: (Stage.ASKED, Stage.HALF_CLOSED, Stage.ENDED),
-    Stage.ASKED: (Stage.JOINED, Stage.HALF_CLOSED, Stage.ENDED),
-    Stage.DIALLING: (Stage.WRITTEN, Stage.ENDED),
-    Stage.WRITTEN: (Stage.ANSWERED, Stage.ENDED),
-    Stage.ANSWERED: (Stage.JOINED, Stage.ENDED),
-    Stage.JOINED: (Stage.HALF_CLOSED, Stage.ENDED),
-    Stage.HALF_CLOSED: (Stage.ENDED,),
-    Stage.ENDED: (),
+    ConnectionState.IDLE: (ConnectionState.ASKED, ConnectionState.HALF_CLOSED, ConnectionState.ENDED),
+    ConnectionState.ASKED: (ConnectionState.JOINED, ConnectionState.HALF_CLOSED, ConnectionState.ENDED),
+    ConnectionState.DIALLING: (ConnectionState.WRITTEN, ConnectionState.ENDED),
+    ConnectionState.WRITTEN: (ConnectionState.ANSWERED, ConnectionState.ENDED),
+    ConnectionState.ANSWERED: (ConnectionState.JOINED, ConnectionState.ENDED),
+    ConnectionState.JOINED: (ConnectionState.HALF_CLOSED, ConnectionState.ENDED),
+    ConnectionState.HALF_CLOSED: (ConnectionState.ENDED,),
+    ConnectionState.ENDED: (),
 }
-TELLS = {Stage.WRITTEN: Known.MAY_HAVE_RUN, Stage.ANSWERED: Known.RAN}
-OVER = (Stage.HALF_CLOSED, Stage.ENDED)
+TELLS = {ConnectionState.WRITTEN: DeliveryState.MAY_HAVE_RUN, ConnectionState.ANSWERED: DeliveryState.RAN}
+OVER = (ConnectionState.HALF_CLOSED, ConnectionState.ENDED)
 
 
-class Life:
+class ConnectionLifecycle:
     """The stage of one connection, and what is known of the request on it."""
 
-    __slots__ = ("known", "stage")
+    __slots__ = ("delivery", "state")
 
-    def __init__(self, stage: Stage) -> None:
-        self.stage, self.known = stage, Known.NOT_SENT
+    def __init__(self, stage: ConnectionState) -> None:
+        self.state, self.delivery = stage, DeliveryState.NOT_SENT
 
-    def to(self, stage: Stage) -> None:
+    def transition_to(self, stage: ConnectionState) -> None:
         """Raises ValueError on a step that there is not."""
-        if stage not in NEXT[self.stage]:
-            raise ValueError(f"a connection that is {self.stage.value} cannot become {stage.value}")
-        self.stage, self.known = stage, TELLS.get(stage, self.known)
+        if stage not in NEXT[self.state]:
+            raise ValueError(f"a connection that is {self.state.value} cannot become {stage.value}")
+        self.state, self.delivery = stage, TELLS.get(stage, self.delivery)
 
     @property
     def over(self) -> bool:
         """Nothing is said on it any more, and nothing that is read on it counts."""
-        return self.stage in OVER
+        return self.state in OVER
 
-    def late(self) -> Ending:
+    def timeout_ending(self) -> Ending:
         """How a setup ends whose time is over."""
-        return "no-connection" if self.known is Known.NOT_SENT else "timeout"
+        return "no-connection" if self.delivery is DeliveryState.NOT_SENT else "timeout"
 
-    def broken(self) -> Ending:
+    def disconnect_ending(self) -> Ending:
         """How a setup ends whose connection is gone, where the server has not said why."""
-        return "no-connection" if self.known is Known.NOT_SENT else "reset"
+        return "no-connection" if self.delivery is DeliveryState.NOT_SENT else "reset"
--- a/pointgw/net/run/node.py
+++ b/pointgw/net/run/node.py
@@ -15,20 +15,20 @@
 import uvloop
 
 from pointgw import early
-from pointgw.net.invariant import broken
+from pointgw.net.invariant import violations
 from pointgw.net.memory import effects as fx
 from pointgw.net.memory.events import (
-    Arrived,
-    Dialled,
-    Ended,
+    ClientArrived,
+    ClientLeft,
     Event,
-    Left,
-    ListFailed,
-    Opened,
-    Reloaded,
-    Stopping,
-    Tick,
-    Told,
+    ListReceived,
+    ListRequestFailed,
+    SettingsReloaded,
+    SetupConnected,
+    SetupEnded,
+    SetupOpened,
+    StopRequested,
+    TimerDue,
 )
 from pointgw.net.memory.reducer import STANDING, Reducer
 from pointgw.net.memory.route import RouteEvidence
@@ -36,21 +36,21 @@
 from pointgw.net.run.client import ClientSide
 from pointgw.net.run.client_connections import ClientConnections
 from pointgw.net.run.discovery import DiscoverySide
-from pointgw.net.run.life import Stage
+from pointgw.net.run.life import ConnectionState
 from pointgw.net.run.periodic import Periodic, count_fault
 from pointgw.net.run.probe_pool import ProbePool
 from pointgw.net.run.request_log import RequestLog
 from pointgw.net.run.server import ServerSide
-from pointgw.net.wire.lines import Closing, Decline, Opening
-from pointgw.net.wire.start import Start
+from pointgw.net.wire.lines import Decline, EndLine, OpenRequest
+from pointgw.net.wire.start import StartUpSettings
 from pointgw.policy import Balancer
 from pointgw.site import Malformed
 
 if TYPE_CHECKING:
-    from pointgw.net.run.operated import Operated
-    from pointgw.net.run.recovering import Recovering
-    from pointgw.net.run.remembering import Remembering
-    from pointgw.net.run.tiering import Tiering
+    from pointgw.net.run.operated import OperatorFile
+    from pointgw.net.run.recovering import RecoveryRunner
+    from pointgw.net.run.remembering import SnapshotRunner
+    from pointgw.net.run.tiering import ClusterRunner
 
 LOOK = 0.25  # seconds between two looks for connections that bring nothing back
 REPORT = 10.0  # seconds between two lines of the log on how things stand
@@ -69,28 +69,28 @@
 _trace = logging.getLogger("pointgw.trace")  # every event and its effects, for debug runs
 
 
-class Node:
+class BalancerProcess:
     def __init__(
         self,
-        start: Start,
+        start: StartUpSettings,
         loop: asyncio.AbstractEventLoop,
-        again: Callable[[], Start],
-        operated: Operated | None = None,
+        again: Callable[[], StartUpSettings],
+        operated: OperatorFile | None = None,
         policy: type[Balancer] = Balancer,
-        remembering: Remembering | None = None,
-        tiering: Tiering | None = None,
-        recovering: Recovering | None = None,
+        remembering: SnapshotRunner | None = None,
+        tiering: ClusterRunner | None = None,
+        recovering: RecoveryRunner | None = None,
     ) -> None:
-        self.remembering, self.tiering, self.recovering = remembering, tiering, recovering
-        self.loop, self.start, self.again, self.operated = loop, start, again, operated
+        self.snapshots, self.cluster, self.recovery = remembering, tiering, recovering
+        self.loop, self.start, self.read_settings, self.operator_file = loop, start, again, operated
         self.shift = time.time() - time.monotonic()  # servers' starts are told in the time of day
         self.reducer = self._reducer(policy)
-        self.slow_after = self.reducer.balancer.goal / 3
-        self.line_within = min(self.reducer.longest, BAD_CLIENT_OWED - 2 * LOOK)
-        self.first_within = min(FIRST_LINE * self.reducer.longest, self.line_within)
+        self.slow_after = self.reducer.balancer.attempt_timeout / 3
+        self.line_within = min(self.reducer.max_client_timeout, BAD_CLIENT_OWED - 2 * LOOK)
+        self.first_within = min(FIRST_LINE * self.reducer.max_client_timeout, self.line_within)
         self.allowed = _allowed(start.descriptors)
         self.descriptors = int(self.allowed * (1 - SPARE)) - OWN_FILES
-        self.connections = ClientConnections(loop, self.reducer.longest)
+        self.connections = ClientConnections(loop, self.reducer.max_client_timeout)
         self.turned_away: Counter[str] = Counter()
         self.clients: dict[int, ClientSide] = {}
         self.servers: dict[tuple[int, int], ServerSide] = {}
@@ -110,14 +110,14 @@
         self.ended: asyncio.Future[None] = loop.create_future()
 
     def _reducer(self, policy: type[Balancer]) -> Reducer:
-        if self.remembering is None:
+        if self.snapshots is None:
             return Reducer(self.start, self.now(), policy)
-        from pointgw.net.run.remembering import remind
+        from pointgw.net.run.remembering import restore_learned_state
 
-        recalled = self.remembering.recalled
-        reducer = Reducer(self.start, self.now(), policy, self.remembering.roster, recalled)
+        recalled = self.snapshots.restored
+        reducer = Reducer(self.start, self.now(), policy, self.snapshots.membership, recalled)
         if recalled is not None:
-            remind(reducer.balancer, recalled, self.now())
+            restore_learned_state(reducer.balancer, recalled, self.now())
         return reducer
 
     def now(self) -> float:
@@ -130,12 +130,14 @@
         self.requests.step("arrived", side.request)
         return number
 
-    def answer_due(self, opening: Opening) -> float:
+    def answer_due(self, opening: OpenRequest) -> float:
         """When its answer is due. One that stood before the run has longer."""
-        if opening.at:
+        if opening.current_server:
             return self.now() + STANDING
-        longest = self.reducer.longest
-        return self.now() + (longest if opening.patience is None else min(opening.patience, longest))
+        longest = self.reducer.max_client_timeout
+        return self.now() + (
+            longest if opening.remaining_time is None else min(opening.remaining_time, longest)
+        )
 
     def request_id(self, client: int) -> str:
         """For the log."""
@@ -166,10 +168,10 @@
         for name in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(name, self.stop)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
-        self._carry_out(self.reducer.given())
+        self._carry_out(self.reducer.take_effects())
         if early.noted():  # it came after the file was read, or may have
             self.reload()
-        if self.reducer.pushed:  # rule 3: what the agent has counts as told from the first moment
+        if self.reducer.list_is_pushed:  # rule 3: what the agent has counts as told from the first moment
             await self.heard
         await self._listen()
         self.look.start()
@@ -177,27 +179,27 @@
         on = ":".join(str(part) for part in self.start.listen)
         about = {"name": self.start.name, "on": on, "descriptors": self.allowed}
         _log.info("serving", extra={"fields": about})
-        if self.remembering is not None:
-            self.remembering.keep(self.reducer, self.loop, self.now)
-        if self.tiering is not None:
-            await self.tiering.speak(self.reducer, self.loop, self.start.seed)
-        if self.recovering is not None:
-            voice = self.tiering.voice if self.tiering is not None else None
-            await self.recovering.speak(self.reducer, self.loop, self.now, self.start.seed, voice)
+        if self.snapshots is not None:
+            self.snapshots.start(self.reducer, self.loop, self.now)
+        if self.cluster is not None:
+            await self.cluster.start(self.reducer, self.loop, self.start.seed)
+        if self.recovery is not None:
+            voice = self.cluster.transport if self.cluster is not None else None
+            await self.recovery.start(self.reducer, self.loop, self.now, self.start.seed, voice)
         await self.ended
         self._stop_periodic()
         self.connections.close(force=True)
-        unanswered = sum(side.life.stage is Stage.ASKED for side in self.clients.values())
+        unanswered = sum(side.life.state is ConnectionState.ASKED for side in self.clients.values())
         if unanswered:
-            broken["closed_without_answer"] += unanswered
+            violations["closed_without_answer"] += unanswered
             _log.error("closed without answer", extra={"fields": {"requests": unanswered}})
-        _log.info("ended", extra={"fields": dict(self.requests.counts) | dict(broken)})
-        if self.tiering is not None:
-            self.tiering.stop()
-        if self.recovering is not None:
-            self.recovering.stop()
-        if self.remembering is not None:
-            await self.remembering.stop()
+        _log.info("ended", extra={"fields": dict(self.requests.counts) | dict(violations)})
+        if self.cluster is not None:
+            self.cluster.stop()
+        if self.recovery is not None:
+            self.recovery.stop()
+        if self.snapshots is not None:
+            await self.snapshots.stop()
 
     async def _listen(self) -> None:
         """Raises OSError where the address stays taken, as by the process before or by a connection."""
@@ -227,7 +229,7 @@
         """The stop's own steps have not ended it in their time: who waits is answered, and it ends."""
         if self.ended.done():
             return
-        broken["stop_not_ended"] += 1
+        violations["stop_not_ended"] += 1
         for side in list(self.clients.values()):
             side.fail()
         self.loop.call_later(LEAVE, self._set_ended)
@@ -242,18 +244,18 @@
             _log.info("stopping", extra={"fields": {"clients": len(self.clients)} | self.reducer.figures()})
             if not self.heard.done():  # a start that waits for the list goes on, and so to its end
                 self.heard.set_result(None)
-            self.loop.call_later(self.reducer.stop_within + LEAVE, self._end_by_force)
-            self.feed(Stopping())
+            self.loop.call_later(self.reducer.stop_time_limit + LEAVE, self._end_by_force)
+            self.feed(StopRequested())
 
     def reload(self) -> None:
         """Takes over what has changed in the files; what can't be read changes nothing."""
         if self.stopping:
             return
         self.rereads += 1
-        if self.operated is not None:
-            self.operated.again()
-            if self.tiering is not None:
-                self.tiering.again(self.operated.told.tier)
+        if self.operator_file is not None:
+            self.operator_file.reload()
+            if self.cluster is not None:
+                self.cluster.reload(self.operator_file.settings.tier)
         self._read_start_up(self.rereads, READ_TRIES)
 
     def _read_start_up(self, reread: int, tries: int) -> None:
@@ -261,7 +263,7 @@
         if self.stopping or reread != self.rereads:
             return
         try:
-            told = self.again()
+            told = self.read_settings()
         except (OSError, Malformed) as fault:
             _log.error("reload refused", extra={"fields": {"why": fault, "tries_left": tries}})
             if tries:
@@ -270,7 +272,7 @@
         fixed = ("name", "listen", "site")
         restart = [name for name in fixed if getattr(told, name) != getattr(self.start, name)]
         _log.info("reloaded", extra={"fields": {"need_restart": ",".join(restart) or "-"}})
-        self.feed(Reloaded(told.discovery, told.names))
+        self.feed(SettingsReloaded(told.discovery, told.names))
 
     def feed(self, event: Event) -> None:
         """What is fed while effects are carried out waits for its turn."""
@@ -286,21 +288,24 @@
 
     def _reduce(self, event: Event) -> None:
         try:
-            effects = self.reducer.take(event, self.now())
+            effects = self.reducer.dispatch(event, self.now())
         except Exception:
             count_fault("event_failed", type(event).__name__)
-            effects = self.reducer.given()
-            if isinstance(event, Stopping):  # guards the stop, which no other event brings on
-                self.loop.call_later(AGAIN, self.feed, Stopping())
+            effects = self.reducer.take_effects()
+            if isinstance(event, StopRequested):  # guards the stop, which no other event brings on
+                self.loop.call_later(AGAIN, self.feed, StopRequested())
             # Guards rule 1: whatever went wrong, the client gets an answer, and what was begun for it ends.
-            if isinstance(event, Arrived | Dialled | Opened | Ended) and event.client in self.clients:
+            if (
+                isinstance(event, ClientArrived | SetupConnected | SetupOpened | SetupEnded)
+                and event.client in self.clients
+            ):
                 self._carry_out(effects)
                 self.clients[event.client].fail()
                 effects = []
-                self.queue.append(Left(event.client, False))
+                self.queue.append(ClientLeft(event.client, False))
                 for side in [side for (client, _), side in self.servers.items() if client == event.client]:
                     self.loop.call_soon(side.give_up)
-        if isinstance(event, Told | ListFailed) and not self.heard.done():
+        if isinstance(event, ListReceived | ListRequestFailed) and not self.heard.done():
             self.heard.set_result(None)
         if _trace.isEnabledFor(logging.DEBUG):
             _trace.debug("step", extra={"fields": {"took": event, "asks": effects}})
@@ -314,9 +319,11 @@
                 count_fault("effect_failed", type(effect).__name__)
                 if isinstance(effect, fx.Connect):  # guards rule 1: nothing else would end this attempt
                     self.servers.pop((effect.client, effect.setup), None)
-                    self.queue.append(Ended(effect.client, effect.setup, Closing("moot", {}), False))
+                    self.queue.append(SetupEnded(effect.client, effect.setup, EndLine("moot", {}), False))
 
-    def _server(self, effect: fx.Write | fx.Drop | fx.Join | fx.Move) -> ServerSide | None:
+    def _server(
+        self, effect: fx.WriteRequest | fx.AbandonSetup | fx.RelayTunnel | fx.MigrateClient
+    ) -> ServerSide | None:
         return self.servers.get((effect.client, effect.setup))
 
     def _do(self, effect: fx.Effect) -> None:
@@ -327,14 +334,14 @@
                     at = f"{effect.address[0]}:{effect.address[1]}"
                     self.requests.step("attempt", side.request, attempt=effect.setup, server=at)
                     self.servers[effect.client, effect.setup] = ServerSide(self, effect, side)
-            case fx.Write():
+            case fx.WriteRequest():
                 if (server := self._server(effect)) is not None:
                     self.requests.step("sent", self.request_id(effect.client), attempt=effect.setup)
                     server.write()
-            case fx.Drop():
+            case fx.AbandonSetup():
                 if (server := self._server(effect)) is not None:
                     server.drop(effect.reset)
-            case fx.Join():
+            case fx.RelayTunnel():
                 if (server := self._server(effect)) is not None:
                     self.requests.step("served", self.request_id(effect.client), attempt=effect.setup)
                     server.join()
@@ -343,12 +350,12 @@
                     how = "refused" if isinstance(effect.answer, Decline) else "failed"
                     self.requests.step(how, self.request_id(effect.client), effect.why or "-")
                     self.clients[effect.client].answer(effect.answer)
-            case fx.End():
+            case fx.CloseClient():
                 if effect.client in self.clients:
                     how = "server_reset" if effect.reset else "server_ended"
                     self.requests.step("closed", self.request_id(effect.client), how)
                     self.clients[effect.client].end(effect.reset)
-            case fx.Move():
+            case fx.MigrateClient():
                 if effect.client in self.clients:
                     self.requests.step("closed", self.request_id(effect.client), "moved")
                     self.clients[effect.client].move()
@@ -358,21 +365,21 @@
                 self.probes.ask(effect)
             case fx.ForgetServer():
                 self.probes.forget(effect.server)
-            case fx.Turn():
+            case fx.SwitchDiscovery():
                 self.discovery.over(keep=False)
                 self.discovery = DiscoverySide(self, effect.address, effect.names)
-            case fx.Ask():
+            case fx.RequestList():
                 self.discovery.ask(effect)
-            case fx.Wake():
+            case fx.SetTimer():
                 if self.timer is not None:  # an earlier one takes its place
                     self.timer.cancel()
-                self.timer = self.loop.call_later(max(effect.delay, LEAST), self.feed, Tick())
-            case fx.StopIn():
-                self.loop.call_later(effect.delay, self.feed, Stopping())
-            case fx.EndIdle():
+                self.timer = self.loop.call_later(max(effect.delay, LEAST), self.feed, TimerDue())
+            case fx.ScheduleStop():
+                self.loop.call_later(effect.delay, self.feed, StopRequested())
+            case fx.CloseIdleClients():
                 self.connections.end_idle(self.now())
-            case fx.Exit():
-                self._begin_leaving(self.now() + effect.within)
+            case fx.ExitProcess():
+                self._begin_leaving(self.now() + effect.time_limit)
 
     def _begin_leaving(self, until: float) -> None:
         if self.leave is None:
@@ -382,7 +389,7 @@
     def _look(self) -> None:
         now = self.now()
         for side in list(self.clients.values()):
-            if side.life.stage is Stage.ASKED and now > side.due + ANSWER_SLACK:
+            if side.life.state is ConnectionState.ASKED and now > side.due + ANSWER_SLACK:
                 self._answer_overdue(side, now)
         for server in list(self.servers.values()):
             server.look(now)
@@ -394,19 +401,19 @@
 
     def _answer_overdue(self, side: ClientSide, now: float) -> None:
         """Guards rule 1 against whatever keeps the decisions from answering it."""
-        broken["answer_overdue"] += 1
+        violations["answer_overdue"] += 1
         late = {"what": "answer_overdue", "request": side.request, "late": now - side.due}
         _log.error("broken", extra={"fields": late})
         self.requests.step("failed", side.request, "overdue")
-        self.feed(Left(side.number, False))
+        self.feed(ClientLeft(side.number, False))
         side.fail()
 
     def _report(self) -> None:
-        counts = dict(self.turned_away) | dict(self.requests.counts) | dict(broken)
+        counts = dict(self.turned_away) | dict(self.requests.counts) | dict(violations)
         _log.info("state", extra={"fields": self.reducer.figures() | counts})
 
     def _report_interval(self) -> float:
-        return (self.operated.state_every if self.operated is not None else None) or REPORT
+        return (self.operator_file.state_every if self.operator_file is not None else None) or REPORT
 
 
 def _allowed(told: int) -> int:
@@ -417,16 +424,16 @@
 
 
 def run(
-    start: Start,
-    again: Callable[[], Start],
-    operated: Operated | None = None,
+    start: StartUpSettings,
+    again: Callable[[], StartUpSettings],
+    operated: OperatorFile | None = None,
     policy: type[Balancer] = Balancer,
-    remembering: Remembering | None = None,
-    tiering: Tiering | None = None,
-    recovering: Recovering | None = None,
+    remembering: SnapshotRunner | None = None,
+    tiering: ClusterRunner | None = None,
+    recovering: RecoveryRunner | None = None,
 ) -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        await Node(start, loop, again, operated, policy, remembering, tiering, recovering).serve()
+        await BalancerProcess(start, loop, again, operated, policy, remembering, tiering, recovering).serve()
 
     uvloop.run(main())
--- a/pointgw/net/run/operated.py
+++ b/pointgw/net/run/operated.py
@@ -13,30 +13,30 @@
 _log = logging.getLogger("pointgw.operators")
 
 
-class Operated:
+class OperatorFile:
     """The sections in force. A file with a fault changes nothing."""
 
-    def __init__(self, path: str, told: operators.Operators) -> None:
-        self.path, self.told = path, told
+    def __init__(self, path: str, told: operators.OperatorSettings) -> None:
+        self.path, self.settings = path, told
         self._apply()
 
     @classmethod
-    def begin(cls, path: str) -> Operated | None:
+    def begin(cls, path: str) -> OperatorFile | None:
         """None, and a line for each fault on standard error, where the file can't be used."""
         try:
             return cls(path, operators.read(path))
-        except checked.Faulty as faulty:
-            for fault in faulty.faults:
-                print(f"pointgw: {fault.line(path)}", file=sys.stderr)
+        except checked.InvalidFileError as faulty:
+            for fault in faulty.problems:
+                print(f"pointgw: {fault.message(path)}", file=sys.stderr)
             return None
 
-    def again(self) -> None:
+    def reload(self) -> None:
         before = self._fixed()
         try:
-            self.told = operators.read(self.path)
-        except checked.Faulty as faulty:
-            for fault in faulty.faults:
-                _log.error("operators' file refused", extra={"fields": {"why": fault.line(self.path)}})
+            self.settings = operators.read(self.path)
+        except checked.InvalidFileError as faulty:
+            for fault in faulty.problems:
+                _log.error("operators' file refused", extra={"fields": {"why": fault.message(self.path)}})
             return
         self._apply()
         now = self._fixed()
@@ -46,23 +46,23 @@
     def _fixed(self) -> dict[str, object]:
         """What a change of needs a restart."""
         return {
-            "state": self.told.state,
-            "tier": _without(self.told.tier),
-            "recovery": self.told.recovery,
+            "state": self.settings.state,
+            "tier": _without(self.settings.tier),
+            "recovery": self.settings.recovery,
         }
 
     def _apply(self) -> None:
-        if self.told.log is not None:
-            logging.getLogger().setLevel(self.told.log.level.upper())
+        if self.settings.log is not None:
+            logging.getLogger().setLevel(self.settings.log.level.upper())
         else:
             logging.getLogger().setLevel(os.environ.get("POINTGW_LOG", "info").upper())
 
     @property
     def state_every(self) -> float | None:
         """Seconds between two state lines; None: as always."""
-        return self.told.log.state_every if self.told.log is not None else None
+        return self.settings.log.state_every if self.settings.log is not None else None
 
 
-def _without(tier: operators.Tier | None) -> operators.Tier | None:
+def _without(tier: operators.TierSection | None) -> operators.TierSection | None:
     """What of it needs a restart: all but the zones to be emptied."""
     return msgspec.structs.replace(tier, evacuate=()) if tier is not None else None
--- a/pointgw/net/run/periodic.py
+++ b/pointgw/net/run/periodic.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Callable
 
-from pointgw.net.invariant import broken
+from pointgw.net.invariant import violations
 
 LOGGED = 10  # faults of one kind that are logged with a traceback
 
@@ -50,6 +50,6 @@
 
 def count_fault(what: str, about: str) -> None:
     """Counts an exception that is being handled, and logs the first few of its kind."""
-    broken[what] += 1
-    if broken[what] <= LOGGED:
+    violations[what] += 1
+    if violations[what] <= LOGGED:
         _log.exception("fault", extra={"fields": {"what": what, "about": about}})
--- a/pointgw/net/run/probe.py
+++ b/pointgw/net/run/probe.py
@@ -7,13 +7,13 @@
 
 from pointgw.interface import Ending, Report
 from pointgw.net.memory.effects import Address, Probe
-from pointgw.net.memory.events import Probed
+from pointgw.net.memory.events import ProbeEnded
 from pointgw.net.run.link import Link
 from pointgw.net.wire import lines
 from pointgw.site import Malformed
 
 if TYPE_CHECKING:
-    from pointgw.net.run.node import Node
+    from pointgw.net.run.node import BalancerProcess
     from pointgw.net.run.probe_pool import ProbePool
 
 
@@ -22,7 +22,7 @@
 
     __slots__ = ("address", "asked", "buffer", "link", "node", "pool", "reused", "server", "task", "timer")
 
-    def __init__(self, node: Node, pool: ProbePool, server: str, address: Address) -> None:
+    def __init__(self, node: BalancerProcess, pool: ProbePool, server: str, address: Address) -> None:
         self.node, self.pool, self.server, self.address = node, pool, server, address
         self.asked: Probe | None = None  # the probe that is out
         self.reused = False  # it went out on a connection that had served before
@@ -33,7 +33,7 @@
 
     def ask(self, probe: Probe) -> None:
         self.asked = probe
-        self.timer = self.node.loop.call_later(probe.within, self._end, "timeout", {})
+        self.timer = self.node.loop.call_later(probe.timeout, self._end, "timeout", {})
         if self.link is not None and self.link.ready:
             self.reused = True
             self.up()
@@ -46,7 +46,7 @@
         self.buffer.clear()
         self.link = link = Link(self)
         self.task = self.node.loop.create_task(self._connect(probe, link))
-        self.node.loop.call_later(probe.connect_within, self._undialled, probe, link, TimeoutError())
+        self.node.loop.call_later(probe.connect_timeout, self._undialled, probe, link, TimeoutError())
 
     async def _connect(self, probe: Probe, link: Link) -> None:
         try:
@@ -77,7 +77,7 @@
             self.pool.idle(self)
             return
         answer = lines.probe_line(line)
-        if answer.spoilt:
+        if answer.has_invalid_report:
             self.node.refused("bad report", line[:80])
         if self.buffer:  # guards against what comes late being read as the next probe's answer
             self.close()
@@ -102,7 +102,7 @@
             self.close()
         self.pool.idle(self)
         if asked is not None:
-            self.node.feed(Probed(asked.server, ending, report))
+            self.node.feed(ProbeEnded(asked.server, ending, report))
 
     def give_up(self) -> None:
         """Its server is to get nothing new, not even what waits for its connection to come up."""
--- a/pointgw/net/run/probe_pool.py
+++ b/pointgw/net/run/probe_pool.py
@@ -6,11 +6,11 @@
 from typing import TYPE_CHECKING
 
 from pointgw.net.memory.effects import Probe
-from pointgw.net.memory.events import Probed
+from pointgw.net.memory.events import ProbeEnded
 from pointgw.net.run.probe import ProbeSide
 
 if TYPE_CHECKING:
-    from pointgw.net.run.node import Node
+    from pointgw.net.run.node import BalancerProcess
 
 SHARE = 1 / 4  # of the descriptors that this process may hold: clients and attempts need two thirds
 
@@ -22,7 +22,7 @@
     that can't go out in its own time ends as "moot", which says nothing of its server.
     """
 
-    def __init__(self, node: Node, descriptors: int) -> None:
+    def __init__(self, node: BalancerProcess, descriptors: int) -> None:
         self.node = node
         self.limit = max(1, int(descriptors * SHARE))
         self.open: dict[str, ProbeSide] = {}  # by server; the least recently used first
@@ -39,7 +39,7 @@
             side = None
         if side is None and len(self.open) >= self.limit and not self.close_idle():
             self.waiting[probe.server] = probe
-            self.node.loop.call_later(probe.within, self._waited_too_long, probe)
+            self.node.loop.call_later(probe.timeout, self._waited_too_long, probe)
             return
         side = side or ProbeSide(self.node, self, probe.server, probe.address)
         self.open[probe.server] = side
@@ -81,4 +81,4 @@
             self._give_up(probe)
 
     def _give_up(self, probe: Probe) -> None:
-        self.node.feed(Probed(probe.server, "moot", {}))
+        self.node.feed(ProbeEnded(probe.server, "moot", {}))
--- a/pointgw/net/run/remembering.py
+++ b/pointgw/net/run/remembering.py
@@ -16,40 +16,40 @@
 
 from pointgw.net.memory.reducer import Reducer
 from pointgw.net.memory.start_times import SAME
-from pointgw.net.wire.start import Start
+from pointgw.net.wire.start import StartUpSettings
 from pointgw.policy import Balancer
 from pointgw.state import facts, keeper
-from pointgw.state.recall import Recalled, Roster, known_facts, recall
-from pointgw.state.store import Store
+from pointgw.state.recall import MembershipView, RestoredState, records_of_list, restore
+from pointgw.state.store import SnapshotStore
 
 _log = logging.getLogger("pointgw.state")
 
 
 @dataclass(slots=True)
-class Remembering:
+class SnapshotRunner:
     """What is on disk, what was made of it, and what keeps it."""
 
-    store: Store
+    store: SnapshotStore
     fingerprint: str
-    roster: Roster
-    recalled: Recalled | None
+    membership: MembershipView
+    restored: RestoredState | None
     run: str  # of this machine
-    keeper: keeper.Keeper | None = None
+    writer: keeper.SnapshotWriter | None = None
 
     @classmethod
-    def begin(cls, folder: str, start: Start, boot: str = "") -> Remembering | None:
+    def begin(cls, folder: str, start: StartUpSettings, boot: str = "") -> SnapshotRunner | None:
         """None, with a line of the log, where the folder can't be used."""
-        held = keeper.begin(folder, start.name)
+        held = keeper.open_store(folder, start.name)
         if held is None:
             return None
         store, found = held
         mark = facts.fingerprint(start.names.zones, start.profiles)
-        known = known_facts(start.known.servers, start.known.addresses)
+        known = records_of_list(start.known_list.servers, start.known_list.addresses)
         now, recalled, run = time.time(), None, machine_run(boot)
-        if found.memory is None:
+        if found.snapshot is None:
             _log.info("nothing remembered", extra={"fields": {"folder": folder, "lost": len(found.lost)}})
         else:
-            recalled = recall(found.memory, known, mark, now, run)
+            recalled = restore(found.snapshot, known, mark, now, run)
             if recalled is None:
                 store.release()
                 why = "it is another installation's: its zones or profiles differ"
@@ -58,29 +58,33 @@
             told: dict[str, object] = {"folder": folder, "age": recalled.age, "clean": recalled.clean}
             told["warm"] = len(recalled.warm)
             _log.info("remembered", extra={"fields": told | recalled.counts})
-        roster = recalled.roster if recalled is not None else Roster({fact.name: fact for fact in known})
+        roster = (
+            recalled.membership
+            if recalled is not None
+            else MembershipView({fact.name: fact for fact in known})
+        )
         return cls(store, mark, roster, recalled, run)
 
-    def keep(
+    def start(
         self, reducer: Reducer, loop: asyncio.AbstractEventLoop, clock: Callable[[], float] = time.time
     ) -> None:
         """`clock`: the process's own, which goes on evenly where the wall clock steps."""
 
-        def take(clean: bool) -> facts.Memory:
+        def take(clean: bool) -> facts.Snapshot:
             now, wall = clock(), time.time()
             stepped = wall - now if abs(wall - now) > SAME else 0.0
             discovery = reducer.discovery  # the one in force: a reload may have turned
-            return facts.Memory(
+            return facts.Snapshot(
                 self.fingerprint, wall, reducer.index, f"{discovery[0]}:{discovery[1]}", clean,
-                in_wall_time(self.roster.kept(now), stepped), health(reducer.balancer, now, stepped),
-                figures(reducer.balancer), self.roster.lives, self.run,
+                in_wall_time(self.membership.kept(now), stepped), health(reducer.balancer, now, stepped),
+                figures(reducer.balancer), self.membership.lives, self.run,
             )  # fmt: skip
 
-        self.keeper = keeper.Keeper(self.store, take, lambda: self.roster.news, loop)
+        self.writer = keeper.SnapshotWriter(self.store, take, lambda: self.membership.change_count, loop)
 
     async def stop(self) -> None:
-        if self.keeper is not None:
-            await self.keeper.stop(clean=True)
+        if self.writer is not None:
+            await self.writer.stop(clean=True)
 
 
 def machine_run(path: str) -> str:
@@ -92,7 +96,7 @@
         return ""
 
 
-def in_wall_time(kept: tuple[facts.Fact, ...], stepped: float) -> tuple[facts.Fact, ...]:
+def in_wall_time(kept: tuple[facts.ServerRecord, ...], stepped: float) -> tuple[facts.ServerRecord, ...]:
     """Facts whose times are of the process's clock, which the wall clock has left by so much."""
     if not stepped:
         return kept
@@ -104,42 +108,49 @@
     )
 
 
-def health(balancer: Balancer, now: float, stepped: float = 0.0) -> tuple[facts.Health, ...]:
+def health(balancer: Balancer, now: float, stepped: float = 0.0) -> tuple[facts.ServerHealth, ...]:
     """Of the servers that are suspended, have strikes, or are cold; a doubted one has learned nothing yet."""
     return tuple(
-        facts.Health(
-            ep.name, ep.started, ep.strikes, ep.out_until + stepped, ep.budget, ep.budget_at + stepped
+        facts.ServerHealth(
+            ep.name,
+            ep.started_at,
+            ep.recent_failures,
+            ep.ejected_until + stepped,
+            ep.slow_start_budget,
+            ep.budget_updated_at + stepped,
         )
         for ep in balancer.servers.values()
-        if not ep.doubted and (ep.strikes or ep.out_until > now or ep.warm_at > now)
+        if not ep.stale and (ep.recent_failures or ep.ejected_until > now or ep.warm_at > now)
     )
 
 
-def figures(balancer: Balancer) -> facts.Figures:
-    return facts.Figures(balancer.c, balancer.load_unit, balancer.rate, 0.0, 0, balancer.cold_gain)
+def figures(balancer: Balancer) -> facts.LearnedFigures:
+    return facts.LearnedFigures(
+        balancer.c, balancer.load_per_tunnel, balancer.arrival_rate, 0.0, 0, balancer.slow_start_rate
+    )
 
 
-def remind(balancer: Balancer, recalled: Recalled, now: float) -> None:
+def restore_learned_state(balancer: Balancer, recalled: RestoredState, now: float) -> None:
     """Hands the decisions what was remembered, after the list."""
     for name in sorted(recalled.warm):
         if name in balancer.servers:
-            balancer.sure(balancer.servers[name])
-    for name in sorted(recalled.doubted):
+            balancer.confirm_process(balancer.servers[name])
+    for name in sorted(recalled.stale):
         if name in balancer.servers:
-            balancer.doubt(balancer.servers[name])
+            balancer.mark_stale(balancer.servers[name])
     for one in recalled.health:
         ep = balancer.servers.get(one.name)
-        if ep is not None and ep.started == one.started and not ep.doubted:
+        if ep is not None and ep.started_at == one.started and not ep.stale:
             # No suspension is longer than the longest that is given; a clock may have jumped.
-            ep.strikes = min(max(0, one.strikes), 4)
-            ep.out_until = min(one.out_until, now + balancer.goal * 64 * 1.2)
-            ep.budget, ep.budget_at = min(ep.budget, one.budget), now
+            ep.recent_failures = min(max(0, one.strikes), 4)
+            ep.ejected_until = min(one.out_until, now + balancer.attempt_timeout * 64 * 1.2)
+            ep.slow_start_budget, ep.budget_updated_at = min(ep.slow_start_budget, one.budget), now
     learned = recalled.figures
     if learned is not None and all(
         math.isfinite(value) and value > 0 for value in (learned.load_unit, learned.rate)
     ):
-        balancer.load_unit, balancer.rate = learned.load_unit, learned.rate
+        balancer.load_per_tunnel, balancer.arrival_rate = learned.load_unit, learned.rate
         if math.isfinite(learned.c) and learned.c > 0:
             balancer.c = learned.c
         if math.isfinite(learned.cold_gain) and learned.cold_gain >= 0:
-            balancer.cold_gain = learned.cold_gain
+            balancer.slow_start_rate = learned.cold_gain
--- a/pointgw/net/run/server.py
+++ b/pointgw/net/run/server.py
@@ -7,15 +7,15 @@
 
 from pointgw.interface import Ending
 from pointgw.net.memory.effects import Connect
-from pointgw.net.memory.events import Dialled, Ended, Opened, Slow, Weighed
+from pointgw.net.memory.events import LoadReported, ServerSlow, SetupConnected, SetupEnded, SetupOpened
 from pointgw.net.run import ends
 from pointgw.net.run.client import ClientSide
-from pointgw.net.run.life import Life, Stage
+from pointgw.net.run.life import ConnectionLifecycle, ConnectionState
 from pointgw.net.wire import lines
 from pointgw.site import Malformed
 
 if TYPE_CHECKING:
-    from pointgw.net.run.node import Node
+    from pointgw.net.run.node import BalancerProcess
 
 
 class ServerSide(asyncio.Protocol):
@@ -28,48 +28,48 @@
         "waits_since",
     )  # fmt: skip
 
-    def __init__(self, node: Node, asked: Connect, client: ClientSide) -> None:
+    def __init__(self, node: BalancerProcess, asked: Connect, client: ClientSide) -> None:
         self.node, self.asked, self.client = node, asked, client
-        self.life = Life(Stage.DIALLING)
+        self.life = ConnectionLifecycle(ConnectionState.DIALLING)
         self.buffer = bytearray()  # what came after the last whole line
-        self.closing: lines.Closing | None = None  # how the server said that it ends
+        self.closing: lines.EndLine | None = None  # how the server said that it ends
         self.transport: asyncio.Transport | None = None
         self.up: lines.Up | None = None
         self.waits_since: float | None = None  # since when the client's lines have brought nothing back
-        self.until = node.now() + asked.after + asked.within  # the loop's clock is old when it is busy
-        dialled = asked.after + min(asked.connect_within, asked.within)
+        self.until = node.now() + asked.delay + asked.timeout  # the loop's clock is old when it is busy
+        dialled = asked.delay + min(asked.connect_timeout, asked.timeout)
         self.timer = node.loop.call_later(dialled, self._late)
         self.task = node.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
         try:
-            if self.asked.after:
-                await asyncio.sleep(self.asked.after)
+            if self.asked.delay:
+                await asyncio.sleep(self.asked.delay)
             await self.node.loop.create_connection(lambda: self, *self.asked.address)
         except OSError as fault:
-            if self.life.stage is Stage.DIALLING:
+            if self.life.state is ConnectionState.DIALLING:
                 self._end(self.node.route.ending(fault, self.asked.address, self.node.now()))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.node.route.connected(self.asked.address, self.node.now())
-        if self.life.stage is not Stage.DIALLING:
+        if self.life.state is not ConnectionState.DIALLING:
             self.transport.abort()  # given up while it came up
             return
         self.transport.set_write_buffer_limits(ends.FULL_BUFFER)
         if not self.client.found_gone():  # else its end was fed, and this is dropped by it
-            self.node.feed(Dialled(self.asked.client, self.asked.setup))
+            self.node.feed(SetupConnected(self.asked.client, self.asked.setup))
 
     def write(self) -> None:
         """The request. Its `d` is what is left now of the time that this balancer waits."""
-        if self.life.stage is not Stage.DIALLING or self.transport is None:
+        if self.life.state is not ConnectionState.DIALLING or self.transport is None:
             return
         left = self.until - self.node.now()
         self.timer.cancel()
         self.timer = self.node.loop.call_later(left, self._late)
-        self.life.to(Stage.WRITTEN)
-        told = None if self.asked.patience is None else left
-        self.transport.write(lines.opening_line(self.asked.opening, told))
+        self.life.transition_to(ConnectionState.WRITTEN)
+        told = None if self.asked.remaining_time is None else left
+        self.transport.write(lines.open_request_line(self.asked.opening, told))
 
     def data_received(self, data: bytes) -> None:
         if self.life.over:
@@ -81,10 +81,10 @@
                 self._first_line()
             except Malformed:
                 self._end("error")
-        if self.life.stage is Stage.JOINED:
+        if self.life.state is ConnectionState.JOINED:
             self._lines()
         elif len(self.buffer) > ends.FULL_BUFFER:  # guards memory where its client was not joined
-            self._end(self.life.broken())
+            self._end(self.life.disconnect_ending())
 
     def _first_line(self) -> None:
         while self.up is None and not self.life.over:
@@ -92,12 +92,12 @@
             if line is None:
                 return
             message = lines.server_line(line)
-            if isinstance(message, lines.Up) and self.life.stage is Stage.WRITTEN:
+            if isinstance(message, lines.Up) and self.life.state is ConnectionState.WRITTEN:
                 self.up = message
                 self.timer.cancel()
-                self.life.to(Stage.ANSWERED)
-                self.node.feed(Opened(self.asked.client, self.asked.setup))
-            elif isinstance(message, lines.Closing):
+                self.life.transition_to(ConnectionState.ANSWERED)
+                self.node.feed(SetupOpened(self.asked.client, self.asked.setup))
+            elif isinstance(message, lines.EndLine):
                 self.closing = message
                 self._end(message.ending)
             elif not isinstance(message, lines.Load):
@@ -115,24 +115,24 @@
         if self.waits_since is not None:
             span, self.waits_since = self.node.now() - self.waits_since, None
             if span > self.node.slow_after:
-                self.node.feed(Slow(self.asked.client, span, False))
+                self.node.feed(ServerSlow(self.asked.client, span, False))
         for line in whole.split(b"\n"):
             if line[:1] in (b"L", b"B", b"M"):
                 message = lines.server_line(line.removesuffix(b"\r"))
                 if isinstance(message, lines.Load):
-                    self.node.feed(Weighed(self.asked.client, message))
-                elif isinstance(message, lines.Closing) and message.ending in ("ok", "cancelled"):
+                    self.node.feed(LoadReported(self.asked.client, message))
+                elif isinstance(message, lines.EndLine) and message.ending in ("ok", "cancelled"):
                     self.closing = message
-        if self.life.stage is Stage.JOINED:
+        if self.life.state is ConnectionState.JOINED:
             self.client.pass_back(whole)
 
     def join(self) -> None:
         assert self.up is not None
         if self.client.join(self, self.up.line):
-            self.life.to(Stage.JOINED)
+            self.life.transition_to(ConnectionState.JOINED)
 
     def pass_on(self, data: bytes) -> None:
-        if self.transport is not None and self.life.stage is Stage.JOINED:
+        if self.transport is not None and self.life.state is ConnectionState.JOINED:
             self.transport.write(data)
             if self.waits_since is None:
                 self.waits_since = self.node.now()
@@ -148,14 +148,14 @@
     def look(self, now: float) -> None:
         """By the clock: a server that has brought nothing back for long may be gone."""
         if self.waits_since is not None and now - self.waits_since > self.node.slow_after:
-            self.node.feed(Slow(self.asked.client, now - self.waits_since, True))
+            self.node.feed(ServerSlow(self.asked.client, now - self.waits_since, True))
 
     def drop(self, reset: bool) -> None:
         """Given up, or its client has gone."""
         if self.life.over:
             return
-        joined = self.life.stage is Stage.JOINED
-        self._leave(Stage.HALF_CLOSED if joined and not reset else Stage.ENDED)
+        joined = self.life.state is ConnectionState.JOINED
+        self._leave(ConnectionState.HALF_CLOSED if joined and not reset else ConnectionState.ENDED)
         if self.transport is None:
             return
         if reset:
@@ -167,46 +167,46 @@
 
     def give_up(self) -> None:
         """Whatever it was for went wrong: its end is reported as if its connection had broken."""
-        self._end(self.life.broken())
+        self._end(self.life.disconnect_ending())
 
-    def _leave(self, stage: Stage) -> None:
-        self.life.to(stage)
+    def _leave(self, stage: ConnectionState) -> None:
+        self.life.transition_to(stage)
         self.timer.cancel()
         if self.transport is None:
             self.task.cancel()
         self.node.servers.pop((self.asked.client, self.asked.setup), None)
 
     def _late(self) -> None:
-        self._end(self.life.late())
+        self._end(self.life.timeout_ending())
 
     def _end(self, ending: Ending, reset: bool = False) -> None:
         if self.life.over:
             return
-        closing = self.closing or lines.Closing(ending, {})
-        if closing.spoilt:
+        closing = self.closing or lines.EndLine(ending, {})
+        if closing.has_invalid_report:
             self.node.refused("bad report", closing.ending)
-        self._leave(Stage.ENDED)
+        self._leave(ConnectionState.ENDED)
         if self.transport is not None:
             self.transport.abort()
         # One that said how it ends has ended in order, however its connection broke then.
         reset = reset and self.closing is None
         told = {"attempt": self.asked.setup}
         self.node.requests.step("attempt_ended", self.client.request, closing.ending, **told)
-        self.node.feed(Ended(self.asked.client, self.asked.setup, closing, reset))
+        self.node.feed(SetupEnded(self.asked.client, self.asked.setup, closing, reset))
 
     def pause_writing(self) -> None:
-        if self.life.stage is Stage.JOINED:
+        if self.life.state is ConnectionState.JOINED:
             ends.pause(self.client.transport)
 
     def resume_writing(self) -> None:
-        if self.life.stage is Stage.JOINED:
+        if self.life.state is ConnectionState.JOINED:
             ends.resume(self.client.transport)
 
     def eof_received(self) -> None:
-        self._end(self.life.broken())
+        self._end(self.life.disconnect_ending())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._end(self.life.broken(), exc is not None)
-        if self.life.stage is Stage.HALF_CLOSED:
-            self.life.to(Stage.ENDED)
+        self._end(self.life.disconnect_ending(), exc is not None)
+        if self.life.state is ConnectionState.HALF_CLOSED:
+            self.life.transition_to(ConnectionState.ENDED)
         self.node.connections.gone(self)
--- a/pointgw/net/run/tiering.py
+++ b/pointgw/net/run/tiering.py
@@ -19,12 +19,12 @@
 from pointgw import checked, operators
 from pointgw.interface import Profile
 from pointgw.net.memory.reducer import Reducer
-from pointgw.net.wire.start import Start
+from pointgw.net.wire.start import StartUpSettings
 from pointgw.policy import Balancer, Server, State, Tunnel
 from pointgw.tier import given
-from pointgw.tier.facts import Seen
-from pointgw.tier.node import Tier, Told
-from pointgw.tier.run import Voice
+from pointgw.tier.facts import ZoneObservation
+from pointgw.tier.node import ClusterNode, ClusterSettings
+from pointgw.tier.run import ClusterTransport
 from pointgw.tier.wire import Keys
 
 TURNED_AWAY = 1.0  # seconds for which a client that was turned away counts as there: it comes again
@@ -36,17 +36,17 @@
 
 
 @dataclass(slots=True)
-class Tiering:
+class ClusterRunner:
     """What is told of the tier, and what speaks for this balancer."""
 
-    told: Told
+    told: ClusterSettings
     keys: Keys
     peers: tuple[Address, ...]
     listen: Address
     status: str
     zones: tuple[str, ...]
     profiles: tuple[str, ...]
-    voice: Voice | None = None
+    transport: ClusterTransport | None = None
     reducer: Reducer | None = None
     away: dict[str, tuple[float, Profile]] = field(default_factory=dict)  # by the client's key, oldest first
     shown_at: float = 0.0
@@ -55,37 +55,39 @@
     refused: bool = False  # the log says so of an evacuation
 
     @classmethod
-    def begin(cls, section: operators.Tier, start: Start) -> Tiering | None:
+    def begin(cls, section: operators.TierSection, start: StartUpSettings) -> ClusterRunner | None:
         """None, and a line for each fault on standard error, where it can't be."""
         try:
             return cls._begin(section, start)
-        except checked.Faulty as faulty:
-            for fault in faulty.faults:
-                print(f"pointgw: {fault.line(faulty.file)}", file=sys.stderr)
+        except checked.InvalidFileError as faulty:
+            for fault in faulty.problems:
+                print(f"pointgw: {fault.message(faulty.file)}", file=sys.stderr)
             return None
 
     @classmethod
-    def _begin(cls, section: operators.Tier, start: Start) -> Tiering:
-        peers, listen, me = given.ends("tier", section, start.peers, start.peer_listen, start.number)
+    def _begin(cls, section: operators.TierSection, start: StartUpSettings) -> ClusterRunner:
+        peers, listen, me = given.endpoints(
+            "tier", section, start.peers, start.peer_listen, start.balancer_index
+        )
         names = start.names.zones
-        told = given.told(section, names, start.site.zone, start.site.profiles, me, len(peers))
-        keys = given.keys(section.key_file)
+        told = given.cluster_settings(section, names, start.site.zone, start.site.profiles, me, len(peers))
+        keys = given.read_keys(section.key_file)
         return cls(told, keys, peers, listen, section.status, names, start.profiles)
 
-    async def speak(self, reducer: Reducer, loop: asyncio.AbstractEventLoop, seed: int) -> None:
+    async def start(self, reducer: Reducer, loop: asyncio.AbstractEventLoop, seed: int) -> None:
         """Guards against an address that can't be had: the balancer serves on without the tier."""
         self.reducer = reducer
-        tier = Tier(self.told, self.keys, Random(f"{seed}/tier/{os.urandom(8).hex()}"), loop.time())
-        voice = Voice(tier, self.peers, loop, self._see, self._act)
+        tier = ClusterNode(self.told, self.keys, Random(f"{seed}/tier/{os.urandom(8).hex()}"), loop.time())
+        voice = ClusterTransport(tier, self.peers, loop, self._see, self._act)
         try:
             await voice.listen(self.listen)
         except OSError as fault:
             _log.error("no tier", extra={"fields": {"why": f"{type(fault).__name__} {fault}"}})
             return
-        self.voice = voice
+        self.transport = voice
         reducer.on_declined = self._declined
 
-    def again(self, section: operators.Tier | None) -> None:
+    def reload(self, section: operators.TierSection | None) -> None:
         """SIGHUP: which zones are to be emptied is taken over; what else changed needs a restart."""
         known = section is not None and set(section.evacuate) < set(self.zones)
         if section is None or not known:
@@ -95,38 +97,40 @@
         evacuate = sum(1 << self.zones.index(name) for name in section.evacuate)
         if evacuate != self.told.evacuate:
             self.told = replace(self.told, evacuate=evacuate)
-            if self.voice is not None:
-                self.voice.tier.told = self.told
+            if self.transport is not None:
+                self.transport.node.settings = self.told
             _log.info("tier", extra={"fields": {"evacuate": ",".join(section.evacuate) or "-"}})
 
     def stop(self) -> None:
-        if self.voice is not None:
-            self.voice.stop()
+        if self.transport is not None:
+            self.transport.stop()
 
     def _declined(self, tun: Tunnel) -> None:
         """Guards against a need that grows with each try of the same client: who is turned away comes again
         sooner than one that is served, and the plan would turn away ever more."""
-        assert self.voice is not None
+        assert self.transport is not None
         self.away.pop(tun.key, None)
         if len(self.away) < MOST_AWAY:
-            self.away[tun.key] = (self.voice.loop.time(), tun.profile)
+            self.away[tun.key] = (self.transport.loop.time(), tun.profile)
 
     def _see(self, now: float) -> None:
-        if self.voice is None or self.reducer is None or not self.voice.tier.looks(now):
+        if self.transport is None or self.reducer is None or not self.transport.node.observation_is_due(now):
             return
         while self.away and next(iter(self.away.values()))[0] < now - TURNED_AWAY:
             del self.away[next(iter(self.away))]
-        self.voice.tier.sees(seen(self.reducer, self.told.zones, [p for _, p in self.away.values()]), now)
+        self.transport.node.observe(
+            seen(self.reducer, self.told.zones, [p for _, p in self.away.values()]), now
+        )
 
     def _act(self, now: float) -> None:
-        if self.voice is None or self.reducer is None:
+        if self.transport is None or self.reducer is None:
             return
-        tier, balancer = self.voice.tier, self.reducer.balancer
+        tier, balancer = self.transport.node, self.reducer.balancer
         mine = tier.plan.shares[self.told.zone]
         near = all(share[self.told.zone] == 1.0 for share in mine)
-        balancer.spread = {} if near else dict(zip(balancer.profiles, mine, strict=True))
-        agreed = tier.accord.agreed
-        said = (len(tier.members.alive()), agreed, tier.strange())
+        balancer.zone_shares = {} if near else dict(zip(balancer.profiles, mine, strict=True))
+        agreed = tier.agreement.agreed
+        said = (len(tier.members.alive()), agreed, tier.map_mismatch())
         if said != self.said:
             self.said = said
             _log.info("tier", extra={"fields": self._standing(now)})
@@ -141,10 +145,10 @@
             self._write(now)
 
     def _standing(self, now: float) -> dict[str, object]:
-        assert self.voice is not None
-        tier = self.voice.tier
-        agreed = tier.accord.agreed
-        closed = [name for z, name in enumerate(self.zones) if tier.accord.closed >> z & 1]
+        assert self.transport is not None
+        tier = self.transport.node
+        agreed = tier.agreement.agreed
+        closed = [name for z, name in enumerate(self.zones) if tier.agreement.closed >> z & 1]
         return {
             "there": len(tier.members.alive()), "of": self.told.count,
             "term": agreed.term if agreed is not None else 0, "closed": ",".join(closed) or "-",
@@ -153,8 +157,8 @@
 
     def _write(self, now: float) -> None:
         """How things stand, whole or not at all, for the owner's eyes."""
-        assert self.voice is not None
-        tier = self.voice.tier
+        assert self.transport is not None
+        tier = self.transport.node
         shares = {
             profile: {zone: round(share, 3) for zone, share in zip(self.zones, row, strict=True)}
             for profile, row in zip(self.profiles, tier.plan.shares[self.told.zone], strict=True)
@@ -165,11 +169,11 @@
         }
         members = {str(m.number): m.state.name.lower() for m in tier.members.others.values()}
         told = self._standing(now) | {
-            "me": self.told.me, "members": members, "zones": zones, "shares": shares,
+            "me": self.told.own_index, "members": members, "zones": zones, "shares": shares,
             "figures": dict(tier.figures),
         }  # fmt: skip
         data = msgspec.json.encode(told)
-        self.writing = self.voice.loop.run_in_executor(None, replace_whole, self.status, data)
+        self.writing = self.transport.loop.run_in_executor(None, replace_whole, self.status, data)
         self.writing.add_done_callback(self._written)
 
     def _written(self, writing: asyncio.Future[None]) -> None:
@@ -189,38 +193,38 @@
     os.replace(path, file)
 
 
-def seen(reducer: Reducer, zones: int, away: list[Profile]) -> tuple[Seen, ...]:
+def seen(reducer: Reducer, zones: int, away: list[Profile]) -> tuple[ZoneObservation, ...]:
     """What this balancer sees of each zone, in mean, warm servers."""
     balancer, now = reducer.balancer, reducer.now
     room, warm, used = [0.0] * zones, [0.0] * zones, [0.0] * zones
-    for ep in balancer.live:
+    for ep in balancer.active_servers:
         if 0 <= ep.zone < zones:
-            size = ep.size / balancer.mean_size
+            size = ep.relative_size / balancer.mean_relative_size
             warm[ep.zone] += size
             part = _part(balancer, ep, now)
             room[ep.zone] += size * part
-            load = ep.full_load if ep.busy is not None else balancer.mean_load or 0.0
+            load = ep.reported_load if ep.reported_busy is not None else balancer.mean_load or 0.0
             used[ep.zone] += size * part * load
     count, opened = dict.fromkeys(balancer.profiles, 0), 0
     for client in reducer.clients.values():
-        if client.tun.state is not State.ENDED:
-            count[client.tun.profile] += 1
-            opened += client.tun.state is State.OPEN
+        if client.tunnel.state is not State.ENDED:
+            count[client.tunnel.profile] += 1
+            opened += client.tunnel.state is State.OPEN
     for profile in away:
         count[profile] += 1
     need = tuple(count[profile] for profile in balancer.profiles)
     own = balancer.zone
     return tuple(
-        Seen(room[z], warm[z], used[z], opened if z == own else 0, need if z == own else ())
+        ZoneObservation(room[z], warm[z], used[z], opened if z == own else 0, need if z == own else ())
         for z in range(zones)
     )
 
 
 def _part(balancer: Balancer, ep: Server, now: float) -> float:
     """Of its full capacity, what it can do now by what this balancer saw of it."""
-    if ep.down or max(ep.out_until, ep.hold_until) > now:
+    if ep.process_missing or max(ep.ejected_until, ep.unstable_until) > now:
         return 0.0
     if ep.warm_at <= now:
         return 1.0
-    age = max(0.0, now - (ep.warm_at - balancer.cold_time)) / balancer.cold_time
-    return balancer.cold_share + (1 - balancer.cold_share) * age
+    age = max(0.0, now - (ep.warm_at - balancer.warm_up_window)) / balancer.warm_up_window
+    return balancer.slow_start_share + (1 - balancer.slow_start_share) * age
--- a/pointgw/net/wire/lines.py
+++ b/pointgw/net/wire/lines.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opening:
+class OpenRequest:
     """A client asks for a tunnel."""
 
     name: str
@@ -30,11 +30,11 @@
     profile: str
     tenant: str
     group: str
-    patience: float | None  # seconds until the client gives up; None: not told
-    back: bool
-    at: str  # the server that has this tunnel already, or nothing
-    before: bytes  # the line as it came, up to the value of `d`
-    after: bytes  # and from there on
+    remaining_time: float | None  # seconds until the client gives up; None: not told
+    is_returning: bool
+    current_server: str  # the server that has this tunnel already, or nothing
+    line_before_deadline: bytes  # the line as it came, up to the value of `d`
+    line_after_deadline: bytes  # and from there on
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,12 +45,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Closing:
+class EndLine:
     """A server says that a setup, a tunnel or a probe ends, or how it fared."""
 
     ending: Ending
     report: Report
-    spoilt: bool = False  # it had a report that can't be used
+    has_invalid_report: bool = False  # it had a report that can't be used
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
 class Decline:
     """The answer to a client that trying again is harmless."""
 
-    come_back: float  # seconds; 0: no advice
+    retry_after: float  # seconds; 0: no advice
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
     return line.removesuffix(b"\r")
 
 
-def client_line(line: bytes) -> Ping | Opening:
+def client_line(line: bytes) -> Ping | OpenRequest:
     """The first line of a client's connection."""
     if line == PING:
         return Ping()
@@ -112,30 +112,30 @@
         patience = float(fields["d"]) / 1e3
         start = len(line) - len(pairs) + (0 if pairs.startswith("d=") else pairs.index(",d=") + 1) + 2
         before, after = line[:start], line[start + len(fields["d"]) :]
-    return Opening(
+    return OpenRequest(
         name=name,
         key="" if key == "-" else key,
         profile=fields.get("c", ""),
         tenant=fields.get("t", ""),
         group=fields.get("g", ""),
-        patience=patience,
-        back=fields.get("again", "0") not in ("", "0"),
-        at=fields.get("at", ""),
-        before=before,
-        after=after,
+        remaining_time=patience,
+        is_returning=fields.get("again", "0") not in ("", "0"),
+        current_server=fields.get("at", ""),
+        line_before_deadline=before,
+        line_after_deadline=after,
     )
 
 
-def opening_line(opening: Opening, patience: float | None) -> bytes:
+def open_request_line(opening: OpenRequest, patience: float | None) -> bytes:
     """The line for a server: as it came, but for the time that this balancer will wait."""
-    if opening.patience is None or patience is None:
-        told = b"" if opening.patience is None else b"%d" % round(opening.patience * 1e3)
+    if opening.remaining_time is None or patience is None:
+        told = b"" if opening.remaining_time is None else b"%d" % round(opening.remaining_time * 1e3)
     else:
         told = b"%d" % max(1, int(patience * 1e3))
-    return opening.before + told + opening.after + END
+    return opening.line_before_deadline + told + opening.line_after_deadline + END
 
 
-def server_line(line: bytes) -> Up | Closing | Load | None:
+def server_line(line: bytes) -> Up | EndLine | Load | None:
     """A line of a server on a tunnel's connection; None: one that is the client's, or an `UP` without a
     receipt, which no server gives."""
     word, _, rest = line.partition(b" ")
@@ -151,7 +151,7 @@
     return None if ending is None else _closing(ending, rest)
 
 
-def probe_line(line: bytes) -> Closing:
+def probe_line(line: bytes) -> EndLine:
     """The answer to a probe."""
     word, _, rest = line.partition(b" ")
     return _closing("ok" if word == PONG else "error", rest)
@@ -160,14 +160,14 @@
 def answer_line(answer: Answer) -> bytes:
     if isinstance(answer, Failure):
         return ERR + END
-    return b"BUSY %d" % round(answer.come_back * 1e3) + END if answer.come_back else b"BUSY" + END
+    return b"BUSY %d" % round(answer.retry_after * 1e3) + END if answer.retry_after else b"BUSY" + END
 
 
-def _closing(ending: Ending, rest: bytes) -> Closing:
+def _closing(ending: Ending, rest: bytes) -> EndLine:
     """A report that can't be read, or has a figure under nought, is none: its line still says how it went."""
     try:
         told = report(rest.decode("ascii").strip(), "=")
     except (Malformed, UnicodeDecodeError):
-        return Closing(ending, {}, True)
+        return EndLine(ending, {}, True)
     sound = all(figure >= 0 for figure in told.values())
-    return Closing(ending, told if sound else {}, not sound)
+    return EndLine(ending, told if sound else {}, not sound)
--- a/pointgw/net/wire/listing.py
+++ b/pointgw/net/wire/listing.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from pointgw.interface import Listed
+from pointgw.interface import ServerEntry
 from pointgw.site import Malformed
 
 PATH = "/registry/instances"
@@ -32,23 +32,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class ServerList:
     """The list or what changed of it."""
 
     index: int
-    whole: bool
-    servers: tuple[Listed, ...]
+    is_full: bool
+    servers: tuple[ServerEntry, ...]
     addresses: tuple[tuple[str, str, int], ...]  # a server's name, its host and port
     unusable: int = 0  # entries that were left out or read in part
 
 
-def listing(value: Any, names: Names) -> Listing:
+def parse_server_list(value: Any, names: Names) -> ServerList:
     """The list of an answer. Raises Malformed where it is none.
 
     An entry that can't be used hides no other: guards rule 3, as all that the answer tells counts as told.
     One without a name is left out; a figure or a status out of range is replaced by what binds most.
     """
-    servers: list[Listed] = []
+    servers: list[ServerEntry] = []
     addresses: list[tuple[str, str, int]] = []
     unusable = 0
     try:
@@ -65,21 +65,21 @@
         if address is not None:
             addresses.append((line.server, *address))
         unusable += not sound or (address is None and bool(entry.get("address")))
-    return Listing(index, whole, tuple(servers), tuple(addresses), unusable)
+    return ServerList(index, whole, tuple(servers), tuple(addresses), unusable)
 
 
-def _line(entry: dict[str, Any], names: Names) -> tuple[Listed, bool]:
+def _line(entry: dict[str, Any], names: Names) -> tuple[ServerEntry, bool]:
     """One entry, and whether all of it could be read."""
     started, weight = _figure(entry.get("since_ms") or 0), _figure(entry.get("weight", 1.0))
     cell, status = _figure(entry.get("group") or 0), entry.get("status")
     state = STATES.get(status, "leaving") if isinstance(status, str) else "leaving"
-    line = Listed(
+    line = ServerEntry(
         server=entry["name"],
         state=state,  # an unknown word allows nothing new
         kind=_place(entry.get("type"), names.kinds),
         cell=int(cell) if cell is not None else UNKNOWN_CELL,
         zone=_place(entry.get("zone"), names.zones),
-        started=started / 1e3 if started is not None else UNUSABLE,
+        started_at=started / 1e3 if started is not None else UNUSABLE,
         weight=weight if weight is not None else 1.0,
     )
     return line, None not in (started, weight, cell) and isinstance(status, str)
@@ -105,14 +105,14 @@
     return names.index(name) if isinstance(name, str) and name in names else -1
 
 
-def body(data: bytes, names: Names) -> Listing:
+def parse_server_list_body(data: bytes, names: Names) -> ServerList:
     try:
-        return listing(json.loads(data), names)
+        return parse_server_list(json.loads(data), names)
     except (ValueError, RecursionError) as fault:
         raise Malformed(f"expected JSON: {fault}") from None
 
 
-def request(host: str, after: int | None, hold: float) -> bytes:
+def list_request(host: str, after: int | None, hold: float) -> bytes:
     """Asks for the whole list, or for what comes after a version, within so many seconds."""
     query = "" if after is None else f"?from={after}&hold_ms={round(hold * 1e3)}"
     return f"GET {PATH}{query} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
--- a/pointgw/net/wire/start.py
+++ b/pointgw/net/wire/start.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from pointgw.interface import Site
-from pointgw.net.wire.listing import Listing, Names, listing
+from pointgw.net.wire.listing import Names, ServerList, parse_server_list
 from pointgw.site import Fields, Malformed, seconds, site
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartUpSettings:
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
@@ -21,13 +21,13 @@
     names: Names
     profiles: tuple[str, ...]
     tenants: tuple[str, ...]
-    connect_within: float
+    connect_timeout: float
     descriptors: int  # that the platform lets this process hold; 0: not told
-    known: Listing
-    number: int = -1  # among the balancers; -1: not told
+    known_list: ServerList
+    balancer_index: int = -1  # among the balancers; -1: not told
     peers: tuple[tuple[str, int], ...] = ()  # all balancers', by number; none: the platform bars talk
     peer_listen: tuple[str, int] | None = None
-    stop_sending: float = 0.1  # after a telling, how long a server may still be sent something
+    drain_grace: float = 0.1  # after a telling, how long a server may still be sent something
 
 
 def flat(value: Any, path: str = "") -> Fields:
@@ -49,13 +49,13 @@
     return {path: str(value).lower() if isinstance(value, bool) else str(value)}
 
 
-def start(data: bytes) -> Start:
+def parse_start_up_file(data: bytes) -> StartUpSettings:
     try:
         told = json.loads(data)
         settings = told["settings"]
         names = Names(_names(settings.get("zones")), _names(settings.get("kinds")))
         fields = flat(settings)
-        return Start(
+        return StartUpSettings(
             name=str(told["name"]),
             listen=_address(told["listen"]),
             discovery=_address(told["discovery"]),
@@ -64,13 +64,13 @@
             names=names,
             profiles=_names(settings.get("profiles")),
             tenants=_names(settings.get("tenants")),
-            connect_within=seconds(fields, "limits.connectTimeout", 0.25),
+            connect_timeout=seconds(fields, "limits.connectTimeout", 0.25),
             descriptors=max(0, int((told.get("limits") or {}).get("sockets") or 0)),
-            known=listing(told["known"], names),
-            number=int(settings.get("me", -1)),
+            known_list=parse_server_list(told["known"], names),
+            balancer_index=int(settings.get("me", -1)),
             peers=tuple(_address(peer) for peer in told.get("peers") or ()),
             peer_listen=_address(told["peer_listen"]) if told.get("peer_listen") else None,
-            stop_sending=seconds(fields, "rules.stopSendingWithin", 0.1),
+            drain_grace=seconds(fields, "rules.stopSendingWithin", 0.1),
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError) as fault:
         raise Malformed(f"expected the start-up JSON: {type(fault).__name__} {fault}") from None
--- a/pointgw/operators.py
+++ b/pointgw/operators.py
@@ -13,21 +13,21 @@
 from pointgw import checked
 
 
-class Log(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LogSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What the log says."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
     state_every: Annotated[float, msgspec.Meta(ge=0.1, le=3600.0)] = 10.0  # seconds between two state lines
 
 
-class State(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StateSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A memory that outlives the balancer."""
 
     folder: Annotated[str, msgspec.Meta(min_length=1)]  # this balancer's own, on a disk that lasts
     boot: str = "/proc/sys/kernel/random/boot_id"  # a file that is another after each power-on
 
 
-class Way(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LinkSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What is between two regions."""
 
     between: Annotated[tuple[str, ...], msgspec.Meta(min_length=2, max_length=2)]
@@ -35,14 +35,14 @@
     delay: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 0.0  # seconds that a setup takes longer over it
 
 
-class Tier(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class TierSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Balancers that know of each other, and decide together where a zone's traffic goes."""
 
     peers: tuple[str, ...] = ()  # HOST:PORT of all balancers by number; none: the start-up file's
     listen: str = ""  # HOST:PORT; nothing: the start-up file's
     key_file: str = ""  # one or two keys in hex, a line each, mode 600; nothing: unsigned, on loopback alone
     regions: dict[str, tuple[str, ...]] = {}  # zones by region; those that none names are one more
-    ways: tuple[Way, ...] = ()  # between regions; those that none names cost 1
+    ways: tuple[LinkSection, ...] = ()  # between regions; those that none names cost 1
     evacuate: tuple[str, ...] = ()  # zones that are to be emptied
     period: Annotated[float, msgspec.Meta(ge=0.05, le=60.0)] = 0.25  # seconds between two pings
     datagrams: Annotated[float, msgspec.Meta(ge=10.0, le=1e6)] = 80.0  # sent a second, at most
@@ -50,7 +50,7 @@
     status: str = ""  # a file that tells how things stand, for `pointgw tier show`
 
 
-class Recovery(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RecoverySection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How a fleet fills again. Nothing is taken over from `[tier]`, but its socket where that is on."""
 
     peers: tuple[str, ...] = ()  # HOST:PORT of all balancers by number; none: the start-up file's
@@ -60,15 +60,15 @@
     order: bool = True  # who waits is served by credit while the fleet fills
 
 
-class Operators(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class OperatorSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """All sections. A subsystem adds its own here."""
 
-    log: Log | None = None
-    state: State | None = None
-    tier: Tier | None = None
-    recovery: Recovery | None = None
+    log: LogSection | None = None
+    state: StateSection | None = None
+    tier: TierSection | None = None
+    recovery: RecoverySection | None = None
 
 
-def read(path: str) -> Operators:
-    """Raises `checked.Faulty` with all that is wrong."""
-    return checked.read(Path(path), Operators)
+def read(path: str) -> OperatorSettings:
+    """Raises `checked.InvalidFileError` with all that is wrong."""
+    return checked.read(Path(path), OperatorSettings)
--- a/pointgw/recovery/loans.py
+++ b/pointgw/recovery/loans.py
@@ -13,7 +13,8 @@
 - A lie: one that lends and spends all the same, or lends to many, adds to the sum what those that may borrow
   of it hold: `few(N)` parts of N, 4% from 25 balancers on, 1/N under that, against `COLD_SAFE`'s fifth. Who
   may borrow of whom is a ring by number, so that nobody can lend to all.
-- A replayed or lying question costs a lender that has nothing waiting its part for `LEASE`, but for `OWN`.
+- A replayed or lying question costs a lender that has nothing waiting its part for `LEASE_DURATION`, but for
+  `OWN`.
 """
 
 from __future__ import annotations
@@ -23,8 +24,10 @@
 from random import Random
 
 OWN = 0.1  # of its part that a lender keeps
-LEASE = 0.5  # of the tip span: how long a loan lasts from when it was asked for
-RIM = 0.1  # of that: how much longer the lender goes without it, as a borrower sees an end a little late
+LEASE_DURATION = 0.5  # of the tip span: how long a loan lasts from when it was asked for
+LESSOR_MARGIN = (
+    0.1  # of that: how much longer the lender goes without it, as a borrower sees an end a little late
+)
 AGAIN = 0.25  # of it, until who is not answered, or whose loan ends, is asked again
 FAN = 3  # that are asked at a time
 FEW = 25  # balancers for each one that may borrow of another
@@ -38,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class Loan:
+class Lease:
     """What is borrowed of one other, and the question to it that is open."""
 
     ends: float = -inf  # of what was lent
@@ -47,37 +50,37 @@
 
 
 @dataclass(slots=True)
-class Loans:
+class Leases:
     me: int
     count: int
     span: float  # the tip span, in seconds
     rng: Random
     started: float
     lenders: tuple[int, ...] = ()  # those that this one may borrow of
-    loans: dict[int, Loan] = field(default_factory=dict)  # by lender
+    loans: dict[int, Lease] = field(default_factory=dict)  # by lender
     asked_at: float = -inf
     turn: int = 0  # which lender is asked next
     lent_to: int = -1
     lent_until: float = -inf
     idle: bool = False  # nothing waits here
     borrowed: int = 0  # loans so far
-    lent: int = 0
+    granted: int = 0
 
     def __post_init__(self) -> None:
         self.lenders = tuple((self.me + i) % self.count for i in range(1, few(self.count) + 1))
-        self.loans = {lender: Loan() for lender in self.lenders}
-        self.lent_until = self.started + (1.0 + RIM) * self.lease
+        self.loans = {lender: Lease() for lender in self.lenders}
+        self.lent_until = self.started + (1.0 + LESSOR_MARGIN) * self.lease
 
     @property
     def lease(self) -> float:
-        return LEASE * self.span
+        return LEASE_DURATION * self.span
 
-    def part(self, now: float) -> float:
+    def budget_share(self, now: float) -> float:
         """What this one may use of the budget, in parts of 1/N."""
         own = OWN if now < self.lent_until else 1.0
         return own + (1.0 - OWN) * sum(now < loan.ends for loan in self.loans.values())
 
-    def asks(self, needs: bool, idle: bool, now: float) -> list[Ask]:
+    def requests_due(self, needs: bool, idle: bool, now: float) -> list[Ask]:
         """What is asked of whom now. `needs`: tunnels wait that cold servers could take; `idle`: nothing
         waits, nor was turned away lately."""
         self.idle = idle
@@ -102,17 +105,17 @@
         loan.number, loan.asked = self.rng.getrandbits(62) + 1, now
         out.append((lender, loan.number))
 
-    def asked(self, borrower: int, now: float) -> bool:
+    def receive_request(self, borrower: int, now: float) -> bool:
         """Another asks; True where it gets this one's part."""
         may = (self.me - borrower) % self.count in range(1, few(self.count) + 1)
         free = now >= self.lent_until or borrower == self.lent_to
         if not (may and free and self.idle):
             return False
-        self.lent_to, self.lent_until = borrower, now + (1.0 + RIM) * self.lease
-        self.lent += 1
+        self.lent_to, self.lent_until = borrower, now + (1.0 + LESSOR_MARGIN) * self.lease
+        self.granted += 1
         return True
 
-    def given(self, lender: int, number: int, now: float) -> bool:
+    def receive_grant(self, lender: int, number: int, now: float) -> bool:
         """An answer: the part of `lender` is lent. True where that is so."""
         loan = self.loans.get(lender)
         if loan is None or not number or loan.number != number:
--- a/pointgw/recovery/phase.py
+++ b/pointgw/recovery/phase.py
@@ -3,7 +3,7 @@
 `finding`: what stands is not known yet; `filling`: a good part of what can serve is cold, and tunnels wait
 for it; `steady`: else. Entered and left at marks that lie apart, `filling` is kept for a time after it last
 held. What follows from it: while it is filling, tunnels that wait are served by credit, and who comes back
-goes before who is new (`rank`)."""
+goes before who is new (`queue_priority`)."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ServerCounts:
     """What a balancer sees of its servers."""
 
     servers: int  # in use
@@ -49,13 +49,13 @@
 
 
 @dataclass(slots=True)
-class Standing:
+class RecoveryPhaseTracker:
     warm_up: float  # seconds
     since: float
     phase: Phase = Phase.FINDING
     held: float = -inf  # when filling last held
 
-    def look(self, seen: Seen, now: float) -> Phase:
+    def look(self, seen: ServerCounts, now: float) -> Phase:
         most = seen.servers or 1
         cold = seen.cold / most
         if self.phase is not Phase.FILLING:
--- a/pointgw/recovery/voice.py
+++ b/pointgw/recovery/voice.py
@@ -9,25 +9,25 @@
 from typing import cast
 
 from pointgw.recovery import words
-from pointgw.recovery.loans import Loans
-from pointgw.recovery.words import Word
-from pointgw.tier.wire import Keys, Refused
+from pointgw.recovery.loans import Leases
+from pointgw.recovery.words import LeaseMessage
+from pointgw.tier.wire import Keys, RefusedDatagramError
 
 Address = tuple[str, int]
 
 
-class Voice(asyncio.DatagramProtocol):
+class LeaseTransport(asyncio.DatagramProtocol):
     """Speaks for one balancer. `changed` is called once a loan has come or was given."""
 
     def __init__(
         self,
-        loans: Loans,
+        loans: Leases,
         keys: Keys,
         peers: tuple[Address, ...],
         loop: asyncio.AbstractEventLoop,
         changed: Callable[[float], None],
     ) -> None:
-        self.loans, self.keys, self.peers, self.loop, self.changed = loans, keys, peers, loop, changed
+        self.leases, self.keys, self.peers, self.loop, self.changed = loans, keys, peers, loop, changed
         self.transport: asyncio.DatagramTransport | None = None
         self.figures: Counter[str] = Counter()
 
@@ -44,24 +44,24 @@
             return
         try:
             word = words.unseal(data, self.keys)
-        except Refused as why:
+        except RefusedDatagramError as why:
             self.figures[f"refused: {why}"] += 1
             return
-        loans, now = self.loans, self.loop.time()
+        loans, now = self.leases, self.loop.time()
         if word.to != loans.me or word.balancers != loans.count or word.sender >= loans.count:
             self.figures["refused: another tier's"] += 1
-        elif word.what == words.ASK and loans.asked(word.sender, now):
+        elif word.what == words.ASK and loans.receive_request(word.sender, now):
             self.changed(now)  # first: what is lent is not used here any more
             self._say(words.LEND, word.sender, word.number)
-        elif word.what == words.LEND and loans.given(word.sender, word.number, now):
+        elif word.what == words.LEND and loans.receive_grant(word.sender, word.number, now):
             self.changed(now)
 
     def ask(self, needs: bool, idle: bool) -> None:
-        for lender, number in self.loans.asks(needs, idle, self.loop.time()):
+        for lender, number in self.leases.requests_due(needs, idle, self.loop.time()):
             self._say(words.ASK, lender, number)
 
     def _say(self, what: words.What, to: int, number: int) -> None:
-        word = Word(what, self.loans.me, to, number, self.loans.count)
+        word = LeaseMessage(what, self.leases.me, to, number, self.leases.count)
         if self.transport is not None and not self.transport.is_closing():
             self.figures["sent"] += 1
             self.transport.sendto(words.seal(word, self.keys), self.peers[to])
--- a/pointgw/recovery/words.py
+++ b/pointgw/recovery/words.py
@@ -1,6 +1,6 @@
 """One datagram about a loan: the tier's envelope (`pointgw.tier.wire`) under a name of its own.
 
-    "pl" VERSION KEY | 16 bytes of keyed BLAKE2b over all the rest | MessagePack of a `Word`
+    "pl" VERSION KEY | 16 bytes of keyed BLAKE2b over all the rest | MessagePack of a `LeaseMessage`
 
 It names no run and no clock: a question is answered by its number, of 63 bits by chance, and taken once."""
 
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from pointgw.tier.wire import Count, Keys, Number, Refused, Run, Struct
+from pointgw.tier.wire import Count, Keys, Number, RefusedDatagramError, Run, Struct
 
 MAGIC = b"pl"
 
@@ -20,7 +20,7 @@
 LEND: What = 1
 
 
-class Word(Struct, frozen=True, array_like=True):
+class LeaseMessage(Struct, frozen=True, array_like=True):
     what: What  # a question, or the answer that lends
     sender: Number
     to: Number
@@ -29,17 +29,17 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Word)
+_decoder = msgspec.msgpack.Decoder(LeaseMessage)
 
 
-def seal(word: Word, keys: Keys) -> bytes:
+def seal(word: LeaseMessage, keys: Keys) -> bytes:
     return keys.seal(_encoder.encode(word), MAGIC)
 
 
-def unseal(data: bytes, keys: Keys) -> Word:
-    """Raises `Refused`."""
+def unseal(data: bytes, keys: Keys) -> LeaseMessage:
+    """Raises `RefusedDatagramError`."""
     body = keys.unseal(data, MAGIC)
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        raise Refused("malformed") from None
+        raise RefusedDatagramError("malformed") from None
--- a/pointgw/rig/baseline.py
+++ b/pointgw/rig/baseline.py
@@ -18,13 +18,13 @@
     """Any active server, by chance alone: no reports, no probes, nobody held back."""
 
     def _candidates(self, tun: Tunnel, now: float) -> list[Server]:
-        return [ep for ep in self.live if self._may_go(tun, ep, now)]
+        return [ep for ep in self.active_servers if self._may_go(tun, ep, now)]
 
     def _draw(self, tun: Tunnel, ready: list[Server]) -> list[Server]:
         return [self.choice(ready)]
 
     def _offer(self, tun: Tunnel, now: float) -> None:
-        self._send(tun, tun.drawn[0], now)
+        self._send(tun, tun.candidates[0], now)
 
     def _probe(self, now: float) -> None:
         pass
--- a/pointgw/rig/scenario.py
+++ b/pointgw/rig/scenario.py
@@ -171,12 +171,12 @@
 
 
 def read(name: str) -> Scenario:
-    """A scenario by its path, or by its name in the library. Raises `checked.Faulty`."""
+    """A scenario by its path, or by its name in the library. Raises `checked.InvalidFileError`."""
     path = Path(name)
     if not path.suffix and not path.exists():
         if name not in library():
             known = "a file, or one of " + ", ".join(library())
-            raise checked.Faulty(name, [checked.Fault("", "", known)])
+            raise checked.InvalidFileError(name, [checked.InvalidValue("", "", known)])
         path = LIBRARY / f"{name}.toml"
     return checked.read(path, Scenario)
 
--- a/pointgw/site.py
+++ b/pointgw/site.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TypeVar, cast
 
-from pointgw.interface import Group, Profile, Report, Semantics, Site
+from pointgw.interface import DedupScope, Profile, Report, Semantics, Site
 
 Fields = dict[str, str]
 T = TypeVar("T")
@@ -21,7 +21,7 @@
     "pure": "repeatable", "token": "referenced", "side_effect": "once-only",
     "safe": "repeatable", "keyed": "referenced", "unsafe": "once-only",
 }  # fmt: skip
-GROUPS: dict[str, Group] = {"all": "all", "zone": "zone", "cell": "cell"}
+GROUPS: dict[str, DedupScope] = {"all": "all", "zone": "zone", "cell": "cell"}
 MODES = {"subscribe": True, "automatic": False, "ask": True, "push": False}
 SIZES = ("nominal", "rough")  # words for the list's weights that tell a size; others change with the load
 FLAGS = {"true": True, "false": False, "1": True, "0": False}
@@ -132,9 +132,9 @@
     profiles = tuple(
         Profile(
             semantics=choice(conf, f"profiles.{i}.semantics", SEMANTICS, SEMANTICS["side_effect"]),
-            group=choice(conf, f"profiles.{i}.group", GROUPS, GROUPS["cell"]),
-            window=seconds(conf, f"profiles.{i}.dedupWindow", 0.0),
-            setup_goal=seconds(conf, f"profiles.{i}.setupGoal", 0.5),
+            dedup_scope=choice(conf, f"profiles.{i}.group", GROUPS, GROUPS["cell"]),
+            dedup_window=seconds(conf, f"profiles.{i}.dedupWindow", 0.0),
+            attempt_timeout=seconds(conf, f"profiles.{i}.setupGoal", 0.5),
             client_timeout=seconds(conf, f"profiles.{i}.clientTimeout", 3.0),
             credit=number(conf, f"profiles.{i}.credit", 1.0),
         )
@@ -142,26 +142,26 @@
     )
     advice = flag(conf, "limits.retryAfter", False)
     return Site(
-        balancers=max(1, whole(conf, "instances", 1)),
+        balancer_count=max(1, whole(conf, "instances", 1)),
         zone=whole(conf, "zone", 0),
         profiles=profiles,
-        asks=choice(conf, "membershipMode", MODES, MODES["subscribe"]),
-        ask_every=seconds(conf, "rules.askEvery", 10.0),
-        fields=tuple(REPORT_WORDS.get(name, name) for name in _list(conf, "report.fields", str)),
+        list_is_polled=choice(conf, "membershipMode", MODES, MODES["subscribe"]),
+        list_poll_interval=seconds(conf, "rules.askEvery", 10.0),
+        report_fields=tuple(REPORT_WORDS.get(name, name) for name in _list(conf, "report.fields", str)),
         max_setups=whole(conf, "limits.maxSetups", 1),
         may_probe=flag(conf, "limits.probes", False),
         may_cancel=flag(conf, "limits.mayCancel", False),
-        come_back=seconds(conf, "limits.maxRetryAfter", 0.0) if advice else 0.0,
-        grain=seconds(conf, "quantum", 0.0),
-        cold_share=number(conf, "rules.coldFrom", 0.1),
-        cold_time=seconds(conf, "rules.cold", 30.0),
-        tip_multiple=number(conf, "rules.tipMultiple", 1.0),
-        tip_span=seconds(conf, "rules.fall", 1.0),
+        max_retry_after=seconds(conf, "limits.maxRetryAfter", 0.0) if advice else 0.0,
+        timer_resolution=seconds(conf, "quantum", 0.0),
+        slow_start_share=number(conf, "rules.coldFrom", 0.1),
+        warm_up_window=seconds(conf, "rules.cold", 30.0),
+        overload_factor=number(conf, "rules.tipMultiple", 1.0),
+        overload_window=seconds(conf, "rules.fall", 1.0),
         probe_price=number(conf, "prices.probe", 0.0),
-        sized=conf.get("weights") in SIZES,
-        shares=sum(_list(conf, "domain.tenantQuotaConnections", float)),
-        number=whole(conf, "me", -1),
-        drain_binds_alone=flag(conf, "rules.drainBindsAlone", False),
-        nines=share(conf, "scoreParts.nines"),
-        top_nines=over_nought(conf, "scoreParts.topNines"),
+        sizes_listed=conf.get("weights") in SIZES,
+        tunnel_quota=sum(_list(conf, "domain.tenantQuotaConnections", float)),
+        balancer_index=whole(conf, "me", -1),
+        only_draining_excludes=flag(conf, "rules.drainBindsAlone", False),
+        nines_weight=share(conf, "scoreParts.nines"),
+        max_nines=over_nought(conf, "scoreParts.topNines"),
     )
--- a/pointgw/state/facts.py
+++ b/pointgw/state/facts.py
@@ -14,7 +14,7 @@
     """Written as an array: short, and later fields may be added at the end."""
 
 
-class Fact(Struct, frozen=True, array_like=True):
+class ServerRecord(Struct, frozen=True, array_like=True):
     """What was told of one server, and when that was last confirmed."""
 
     name: str
@@ -30,11 +30,11 @@
     seen: float = 0.0  # when own traffic last showed it alive; 0: never
 
     @property
-    def away(self) -> bool:
+    def is_away(self) -> bool:
         return self.state != "active"
 
 
-class Health(Struct, frozen=True, array_like=True):
+class ServerHealth(Struct, frozen=True, array_like=True):
     """What own traffic taught of one server."""
 
     name: str
@@ -45,7 +45,7 @@
     budget_at: float
 
 
-class Figures(Struct, frozen=True, array_like=True):
+class LearnedFigures(Struct, frozen=True, array_like=True):
     """What the decisions learned of the whole."""
 
     c: float
@@ -56,14 +56,14 @@
     cold_gain: float
 
 
-class Lives(Struct, frozen=True, array_like=True):
+class ServerLifetimes(Struct, frozen=True, array_like=True):
     """How long servers of this roster have lived: what their entries' age is weighed against."""
 
     ended: int = 0
     total: float = 0.0  # seconds
 
 
-class Memory(Struct, frozen=True, array_like=True):
+class Snapshot(Struct, frozen=True, array_like=True):
     """All of it, as one generation holds it."""
 
     fingerprint: str  # of the installation
@@ -71,10 +71,10 @@
     index: int | None  # the list's version, and
     discovery: str  # which discovery it belongs to
     clean: bool  # written at a stop in order
-    facts: tuple[Fact, ...]
-    health: tuple[Health, ...] = ()
-    figures: Figures | None = None
-    lives: Lives = Lives()
+    facts: tuple[ServerRecord, ...]
+    health: tuple[ServerHealth, ...] = ()
+    figures: LearnedFigures | None = None
+    lives: ServerLifetimes = ServerLifetimes()
     run: str = ""  # of the machine, from one power-on to the next; nothing: not known
 
 
--- a/pointgw/state/form.py
+++ b/pointgw/state/form.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from pointgw.state.facts import Memory
+from pointgw.state.facts import Snapshot
 
 MAGIC = b"pointgw-state"
 VERSION = 1
@@ -20,18 +20,18 @@
 LARGEST = 64 * 1024 * 1024  # bytes of a generation
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Memory)
+_decoder = msgspec.msgpack.Decoder(Snapshot)
 
 
-class Damaged(Exception):
+class DamagedSnapshotError(Exception):
     """Bytes that are no sound memory; its text says in what."""
 
 
-class Newer(Exception):
+class NewerVersionError(Exception):
     """Written by a later version of this program. It is left untouched."""
 
 
-def encode(memory: Memory) -> bytes:
+def encode(memory: Snapshot) -> bytes:
     payload = _encoder.encode(memory)
     return _head(VERSION, payload) + payload
 
@@ -42,21 +42,21 @@
     return b"%s %d %s %d\n" % (MAGIC, version, digest, len(payload))
 
 
-def decode(data: bytes) -> Memory:
-    """Raises `Damaged` or `Newer`."""
+def decode(data: bytes) -> Snapshot:
+    """Raises `DamagedSnapshotError` or `NewerVersionError`."""
     if not data:
-        raise Damaged("empty")
+        raise DamagedSnapshotError("empty")
     head, found, payload = data[:LONGEST_HEAD].partition(b"\n")
     words = head.split(b" ")
     if not found or len(words) != 4 or words[0] != MAGIC or not words[1].isdigit():
-        raise Damaged("not a file of pointgw's")
+        raise DamagedSnapshotError("not a file of pointgw's")
     version = int(words[1])
     payload = data[len(head) + 1 :]
     if _head(version, payload) != data[: len(head) + 1]:
-        raise Damaged("cut off or changed")
+        raise DamagedSnapshotError("cut off or changed")
     if version > VERSION:
-        raise Newer(f"version {version}, this program reads up to {VERSION}")
+        raise NewerVersionError(f"version {version}, this program reads up to {VERSION}")
     try:
         return _decoder.decode(payload)
     except msgspec.DecodeError as fault:
-        raise Damaged(f"sound, but not of this form: {fault}") from None
+        raise DamagedSnapshotError(f"sound, but not of this form: {fault}") from None
--- a/pointgw/state/keeper.py
+++ b/pointgw/state/keeper.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 from queue import SimpleQueue
 
-from pointgw.state.facts import Memory
-from pointgw.state.form import Newer, encode
-from pointgw.state.store import Found, Owned, Store
+from pointgw.state.facts import Snapshot
+from pointgw.state.form import NewerVersionError, encode
+from pointgw.state.store import FolderInUseError, LoadResult, SnapshotStore
 
 NEWS_EVERY = 1.0  # seconds within which news of the roster is durable
 FIGURES_EVERY = 10.0
@@ -73,7 +73,7 @@
     failed: int = 0
 
 
-class Keeper:
+class SnapshotWriter:
     """Writes what `take` gives, as long as the balancer runs.
 
     `take(clean)` is called on the loop and gives the memory as it stands; `news()` counts changes of the
@@ -82,8 +82,8 @@
 
     def __init__(
         self,
-        store: Store,
-        take: Callable[[bool], Memory],
+        store: SnapshotStore,
+        take: Callable[[bool], Snapshot],
         news: Callable[[], int],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
@@ -113,7 +113,7 @@
         self.next_news, self.next_figures = now + wait, now + max(wait, FIGURES_EVERY - LOOK)
         return self.out
 
-    def _save(self, memory: Memory) -> int:
+    def _save(self, memory: Snapshot) -> int:
         """On the thread."""
         return self.store.save(encode(memory))
 
@@ -151,17 +151,17 @@
             self.store.release()
 
 
-def begin(folder: str, who: str) -> tuple[Store, Found] | None:
+def open_store(folder: str, who: str) -> tuple[SnapshotStore, LoadResult] | None:
     """Claims a folder and reads it. None, and one line of the log, where it can't be used."""
-    store = Store(folder)
+    store = SnapshotStore(folder)
     try:
         store.claim(who)
         found = store.load()
-    except Newer as fault:
+    except NewerVersionError as fault:
         store.release()
         _log.error("left untouched", extra={"fields": {"folder": folder, "why": str(fault)}})
         return None
-    except Owned as fault:
+    except FolderInUseError as fault:
         _log.error("held by another", extra={"fields": {"folder": folder, "by": str(fault)}})
         return None
     except OSError as fault:
--- a/pointgw/state/merge.py
+++ b/pointgw/state/merge.py
@@ -9,19 +9,19 @@
 
 from collections.abc import Iterable
 
-from pointgw.state.facts import Fact
+from pointgw.state.facts import ServerRecord
 
 RANK = {"active": 0, "leaving": 1, "left": 2}
 
 
-def better(one: Fact, other: Fact) -> Fact:
+def better(one: ServerRecord, other: ServerRecord) -> ServerRecord:
     """The fact that holds of two about the same server."""
     won = max(one, other, key=_key)
     seen = max(one.seen, other.seen) if one.started == other.started else won.seen
     return _with_seen(won, seen)
 
 
-def _key(fact: Fact) -> tuple[object, ...]:
+def _key(fact: ServerRecord) -> tuple[object, ...]:
     """The rest of the fields only decide where all else is equal, so that the order never does."""
     return (
         fact.started, RANK[fact.state], fact.at, fact.host, fact.port, fact.zone, fact.kind, fact.cell,
@@ -29,18 +29,18 @@
     )  # fmt: skip
 
 
-def _with_seen(fact: Fact, seen: float) -> Fact:
+def _with_seen(fact: ServerRecord, seen: float) -> ServerRecord:
     if fact.seen == seen:
         return fact
-    return Fact(
+    return ServerRecord(
         fact.name, fact.state, fact.started, fact.at, fact.host, fact.port, fact.zone, fact.kind, fact.cell,
         fact.weight, seen,
     )  # fmt: skip
 
 
-def merge(*sources: Iterable[Fact]) -> dict[str, Fact]:
+def merge(*sources: Iterable[ServerRecord]) -> dict[str, ServerRecord]:
     """What holds of each server, by name; sorted, so that equal contents are equal in order too."""
-    found: dict[str, Fact] = {}
+    found: dict[str, ServerRecord] = {}
     for source in sources:
         for fact in source:
             known = found.get(fact.name)
--- a/pointgw/state/store.py
+++ b/pointgw/state/store.py
@@ -14,28 +14,28 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from pointgw.state.facts import Memory
-from pointgw.state.form import LARGEST, Damaged, Newer, decode
+from pointgw.state.facts import Snapshot
+from pointgw.state.form import LARGEST, DamagedSnapshotError, NewerVersionError, decode
 
 KEPT = 2  # generations
 PREFIX, ASIDE, OWNER = "state.", "state-new", "owner"
 MODE = 0o600
 
 
-class Owned(Exception):
+class FolderInUseError(Exception):
     """Another process has the folder; its text names it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class LoadResult:
     """What a folder held."""
 
-    memory: Memory | None
+    snapshot: Snapshot | None
     generation: int  # 0: none
     lost: tuple[str, ...]  # generations that are damaged, each with why
 
 
-class Store:
+class SnapshotStore:
     """One folder. `claim` before `save`; `load` needs no claim."""
 
     def __init__(self, folder: str, step: Callable[[str], None] = lambda name: None) -> None:
@@ -44,7 +44,7 @@
         self.owner = -1
 
     def claim(self, who: str) -> None:
-        """Raises `Owned`, or OSError where the folder can't be used."""
+        """Raises `FolderInUseError`, or OSError where the folder can't be used."""
         os.makedirs(self.folder, mode=0o700, exist_ok=True)
         place = self._folder()
         try:
@@ -57,7 +57,7 @@
         except OSError:
             told = os.read(held, 200).decode("utf-8", "replace").strip()
             os.close(held)
-            raise Owned(told or "another process") from None
+            raise FolderInUseError(told or "another process") from None
         os.ftruncate(held, 0)
         os.pwrite(held, f"{who} (process {os.getpid()})\n".encode(), 0)
         self.owner = held
@@ -67,24 +67,25 @@
             os.close(self.owner)
             self.owner = -1
 
-    def load(self) -> Found:
-        """The newest sound generation. Raises `Newer`; a folder that isn't there holds nothing."""
+    def load(self) -> LoadResult:
+        """The newest sound generation. Raises `NewerVersionError`; a folder that isn't there holds
+        nothing."""
         lost: list[str] = []
         try:
             place = self._folder()
         except FileNotFoundError:
-            return Found(None, 0, ())
+            return LoadResult(None, 0, ())
         try:
             numbers = self._numbers(place)
             self.generation = max(numbers, default=0)
             for number in sorted(numbers, reverse=True):
                 try:
-                    return Found(decode(self._read(place, f"{PREFIX}{number}")), number, tuple(lost))
-                except (Damaged, OSError) as fault:
+                    return LoadResult(decode(self._read(place, f"{PREFIX}{number}")), number, tuple(lost))
+                except (DamagedSnapshotError, OSError) as fault:
                     lost.append(f"{PREFIX}{number}: {fault}")
         finally:
             os.close(place)
-        return Found(None, 0, tuple(lost))
+        return LoadResult(None, 0, tuple(lost))
 
     def save(self, data: bytes) -> int:
         """Makes a generation durable; gives the bytes written. Raises OSError: the ones before stay."""
@@ -133,7 +134,7 @@
         try:
             about = os.fstat(file)
             if not stat.S_ISREG(about.st_mode) or about.st_size > LARGEST:
-                raise Damaged("not a plain file of a size that was ever written")
+                raise DamagedSnapshotError("not a plain file of a size that was ever written")
             parts = []
             while part := os.read(file, 1 << 20):
                 parts.append(part)
@@ -142,4 +143,4 @@
             os.close(file)
 
 
-__all__ = ["Found", "Newer", "Owned", "Store"]
+__all__ = ["FolderInUseError", "LoadResult", "NewerVersionError", "SnapshotStore"]
--- a/pointgw/state/trust.py
+++ b/pointgw/state/trust.py
@@ -10,7 +10,7 @@
 
 from enum import Enum
 
-from pointgw.state.facts import Fact, Lives, Memory
+from pointgw.state.facts import ServerLifetimes, ServerRecord, Snapshot
 
 FRESH = 30.0  # seconds in which an entry is as good as live: what a restart takes
 SURE = 0.5
@@ -19,7 +19,7 @@
 AHEAD = 1.0  # seconds that clocks may differ; an entry from further ahead has no age
 
 
-class Standing(Enum):
+class RecordStanding(Enum):
     """How an entry is used."""
 
     TRUSTED = "trusted"
@@ -27,16 +27,16 @@
     REFUSED = "refused"
 
 
-def life(lives: Lives) -> float:
+def life(lives: ServerLifetimes) -> float:
     """The usual life of a server, in seconds: its own history, mixed with `LIFE` while that is short."""
     known = min(lives.ended, SEEN_ENDS)
     seen = lives.total / lives.ended if lives.ended else 0.0
     return max(FRESH, (known * seen + (SEEN_ENDS - known) * LIFE) / SEEN_ENDS)
 
 
-def trust(fact: Fact, lives: Lives, now: float) -> float:
+def trust(fact: ServerRecord, lives: ServerLifetimes, now: float) -> float:
     """From 0 to 1."""
-    if fact.away:
+    if fact.is_away:
         return 0.0
     age = now - max(fact.at, fact.seen if fact.seen <= now + AHEAD else 0.0)
     if age < -AHEAD:
@@ -46,13 +46,13 @@
     return float(2.0 ** -((age - FRESH) / life(lives)))
 
 
-def standing(fact: Fact, lives: Lives, now: float) -> Standing:
-    if fact.away:
-        return Standing.REFUSED
-    return Standing.TRUSTED if trust(fact, lives, now) >= SURE else Standing.DOUBTED
+def standing(fact: ServerRecord, lives: ServerLifetimes, now: float) -> RecordStanding:
+    if fact.is_away:
+        return RecordStanding.REFUSED
+    return RecordStanding.TRUSTED if trust(fact, lives, now) >= SURE else RecordStanding.DOUBTED
 
 
-def still_warm(memory: Memory, fact: Fact, run: str, now: float) -> bool:
+def still_warm(memory: Snapshot, fact: ServerRecord, run: str, now: float) -> bool:
     """Whether a server may be taken for the process it was, and not for one started since.
 
     A name outlives an outage, warmth does not. It is believed where the memory is as fresh as a restart
--- a/pointgw/tier/accord.py
+++ b/pointgw/tier/accord.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Accord:
+class Agreement:
     members: Members
     rng: Random
     started: float
@@ -67,7 +67,7 @@
     def _done(self, vote: Vote) -> bool:
         return self.agreed is not None and vote.term <= self.agreed.term
 
-    def hear(self, vote: Vote, now: float) -> None:
+    def receive_vote(self, vote: Vote, now: float) -> None:
         """What another holds."""
         if vote.agreed:
             self._agree(vote, now)
--- a/pointgw/tier/facts.py
+++ b/pointgw/tier/facts.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ZoneObservation:
     """One zone, as this balancer sees it. In mean, warm servers."""
 
     room: float
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Facts:
+class ZoneObservations:
     members: Members
     zones: int
     profiles: int
@@ -66,7 +66,7 @@
     told: dict[tuple[int, int], None] = field(default_factory=dict)
     eyes: dict[int, dict[int, None]] = field(default_factory=dict)  # by zone: who tells its room alone
 
-    def see(self, seen: tuple[Seen, ...], now: float) -> None:
+    def see(self, seen: tuple[ZoneObservation, ...], now: float) -> None:
         """What this balancer sees now, zone by zone."""
         self.number += 1
         me, run = self.members.me, self.members.run & HALF
--- a/pointgw/tier/given.py
+++ b/pointgw/tier/given.py
@@ -10,29 +10,29 @@
 
 from pointgw import checked
 from pointgw.interface import Profile
-from pointgw.operators import Recovery
-from pointgw.operators import Tier as Section
+from pointgw.operators import RecoverySection
+from pointgw.operators import TierSection as Section
 from pointgw.tier import wire
-from pointgw.tier.node import Told
-from pointgw.tier.plan import Kind, Ways
+from pointgw.tier.node import ClusterSettings
+from pointgw.tier.plan import ProfileCosts, RegionLinks
 
 SHORTEST = 16  # bytes of a key
 
 Address = tuple[str, int]
 
 
-def told(
+def cluster_settings(
     section: Section, zones: tuple[str, ...], zone: int, profiles: tuple[Profile, ...], me: int, count: int
-) -> Told:
-    """Raises `checked.Faulty` with all that is wrong."""
+) -> ClusterSettings:
+    """Raises `checked.InvalidFileError` with all that is wrong."""
     faults = list(_faults(section, zones))
     if not 0 <= me < count:
         what = "a list with this balancer's own address in it"
-        faults.append(checked.Fault("tier.peers", str(count), what))
+        faults.append(checked.InvalidValue("tier.peers", str(count), what))
     if count > wire.MOST_MEMBERS:
-        faults.append(checked.Fault("tier.peers", str(count), f"at most {wire.MOST_MEMBERS}"))
+        faults.append(checked.InvalidValue("tier.peers", str(count), f"at most {wire.MOST_MEMBERS}"))
     if faults:
-        raise checked.Faulty("operators' file", faults)
+        raise checked.InvalidFileError("operators' file", faults)
     names = sorted(section.regions)
     named = {z: names.index(r) for r in names for z in section.regions[r]}
     rest = len(names)  # zones that no region names are one more
@@ -41,75 +41,84 @@
     for way in section.ways:
         one, other = sorted(names.index(name) for name in way.between)
         cost[one, other], delay[one, other] = way.cost, way.delay
-    return Told(
-        me, count, zone, len(zones), tuple(Kind(p.credit, p.setup_goal) for p in profiles),
-        Ways(region, cost, delay), wire.digest(repr((zones, region, sorted(cost.items())))), section.period,
-        section.datagrams, section.bytes, sum(1 << zones.index(name) for name in section.evacuate),
+    return ClusterSettings(
+        me, count, zone, len(zones), tuple(ProfileCosts(p.credit, p.attempt_timeout) for p in profiles),
+        RegionLinks(region, cost, delay), wire.digest(repr((zones, region, sorted(cost.items())))),
+        section.period, section.datagrams, section.bytes,
+        sum(1 << zones.index(name) for name in section.evacuate),
     )  # fmt: skip
 
 
-def ends(
+def endpoints(
     name: str,
-    section: Section | Recovery,
+    section: Section | RecoverySection,
     peers: tuple[Address, ...],
     listen: Address | None,
     number: int,
 ) -> tuple[tuple[Address, ...], Address, int]:
     """All peers by number, where this one listens, and its number (-1: not among them); what a section does
-    not tell is as the start-up file has it. Raises `checked.Faulty`."""
+    not tell is as the start-up file has it. Raises `checked.InvalidFileError`."""
     peers = tuple(address(name, peer) for peer in section.peers) or peers
     listen = address(name, section.listen) if section.listen else listen
     if listen is None:
         what = "HOST:PORT, as the start-up file has no peer_listen"
-        raise checked.Faulty("operators' file", [checked.Fault(f"{name}.listen", "", what)])
+        raise checked.InvalidFileError("operators' file", [checked.InvalidValue(f"{name}.listen", "", what)])
     return peers, listen, number if number >= 0 else peers.index(listen) if listen in peers else -1
 
 
 def address(name: str, text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise checked.Faulty("operators' file", [checked.Fault(name, repr(text), "HOST:PORT")])
+        raise checked.InvalidFileError(
+            "operators' file", [checked.InvalidValue(name, repr(text), "HOST:PORT")]
+        )
     return host, int(port)
 
 
-def _faults(section: Section, zones: tuple[str, ...]) -> Iterator[checked.Fault]:
+def _faults(section: Section, zones: tuple[str, ...]) -> Iterator[checked.InvalidValue]:
     known = "one of " + ", ".join(zones)
     seen: set[str] = set()
     for region, names in sorted(section.regions.items()):
         for name in names:
             if name not in zones:
-                yield checked.Fault(f"tier.regions.{region}", repr(name), known)
+                yield checked.InvalidValue(f"tier.regions.{region}", repr(name), known)
             if name in seen:
-                yield checked.Fault(f"tier.regions.{region}", repr(name), "each zone in one region")
+                yield checked.InvalidValue(f"tier.regions.{region}", repr(name), "each zone in one region")
             seen.add(name)
     for i, way in enumerate(section.ways):
         for name in way.between:
             if name not in section.regions:
                 what = "one of " + ", ".join(sorted(section.regions))
-                yield checked.Fault(f"tier.ways[{i}].between", repr(name), what)
+                yield checked.InvalidValue(f"tier.ways[{i}].between", repr(name), what)
     for name in section.evacuate:
         if name not in zones:
-            yield checked.Fault("tier.evacuate", repr(name), known)
+            yield checked.InvalidValue("tier.evacuate", repr(name), known)
     if len(set(section.evacuate)) >= len(zones):
-        yield checked.Fault("tier.evacuate", repr(list(section.evacuate)), "at least one zone that stays")
+        yield checked.InvalidValue(
+            "tier.evacuate", repr(list(section.evacuate)), "at least one zone that stays"
+        )
 
 
-def keys(path: str) -> wire.Keys:
-    """The keys of a file, one a line, the first one signs. Raises `checked.Faulty`."""
+def read_keys(path: str) -> wire.Keys:
+    """The keys of a file, one a line, the first one signs. Raises `checked.InvalidFileError`."""
     if not path:
         return wire.Keys()
     try:
         mode = stat.S_IMODE(os.stat(path).st_mode)
         lines = [line.strip() for line in Path(path).read_text("ascii").splitlines() if line.strip()]
     except (OSError, UnicodeDecodeError) as fault:
-        raise checked.Faulty(path, [checked.Fault("", "", f"a file that can be read ({fault})")]) from None
+        raise checked.InvalidFileError(
+            path, [checked.InvalidValue("", "", f"a file that can be read ({fault})")]
+        ) from None
     if mode & 0o077:
-        raise checked.Faulty(path, [checked.Fault("", f"{mode:o}", "a mode of 600: nobody else may read it")])
+        raise checked.InvalidFileError(
+            path, [checked.InvalidValue("", f"{mode:o}", "a mode of 600: nobody else may read it")]
+        )
     try:
         found = tuple(bytes.fromhex(line) for line in lines)
     except ValueError:
         found = ()
     if not 1 <= len(found) <= 2 or any(not SHORTEST <= len(key) <= 64 for key in found):
         what = f"one or two keys of {SHORTEST} to 64 bytes, in hex"
-        raise checked.Faulty(path, [checked.Fault("", "", what)])
+        raise checked.InvalidFileError(path, [checked.InvalidValue("", "", what)])
     return wire.Keys(found)
