--- a/pointgw/tier/node.py
+++ b/pointgw/tier/node.py
@@ -1,8 +1,8 @@
 """One balancer's part in the tier: members, facts, accord and plan joined. No I/O, no clock.
 
-Bytes in, bytes out: `hears` takes a datagram, `turns` is called by the clock, both give what is to be sent.
-All that goes out passes one ceiling, in datagrams and in bytes a second, the same at any size of the tier:
-what is over it is not sent, and counted."""
+Bytes in, bytes out: `receive` takes a datagram, `timer_due` is called by the clock, both give what is to be
+sent. All that goes out passes one ceiling, in datagrams and in bytes a second, the same at any size of the
+tier: what is over it is not sent, and counted."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 import msgspec
 
 from pointgw.tier import plan, wire
-from pointgw.tier.accord import Accord
-from pointgw.tier.facts import Facts, Seen, Zone
+from pointgw.tier.accord import Agreement
+from pointgw.tier.facts import Zone, ZoneObservation, ZoneObservations
 from pointgw.tier.members import FEW, Members, Send
-from pointgw.tier.plan import Kind, Plan, Ways
+from pointgw.tier.plan import Plan, ProfileCosts, RegionLinks
 
 EMPTY, FILLED = 0.1, 0.3  # of what a zone can do when warm: room under which it is closed, over which opened
 SHORT, LONG = 2, 16  # periods for which it must be so
@@ -28,15 +28,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ClusterSettings:
     """What the operators say of the tier."""
 
-    me: int
+    own_index: int
     count: int
     zone: int
     zones: int
-    kinds: tuple[Kind, ...]
-    ways: Ways
+    kinds: tuple[ProfileCosts, ...]
+    ways: RegionLinks
     regions: int  # digest of the map
     period: float = 0.25
     datagrams: float = 80.0  # a second, at most
@@ -65,14 +65,14 @@
 
 
 @dataclass(slots=True)
-class Tier:
-    told: Told
+class ClusterNode:
+    settings: ClusterSettings
     keys: wire.Keys
     rng: Random
     now: float
     members: Members = field(init=False)
-    facts: Facts = field(init=False)
-    accord: Accord = field(init=False)
+    facts: ZoneObservations = field(init=False)
+    agreement: Agreement = field(init=False)
     plan: Plan = field(init=False)
     planned_at: float = field(init=False)
     seen_at: float = -inf
@@ -86,22 +86,22 @@
     filled: dict[int, float] = field(default_factory=dict)  # zones that are closed: since when they have
 
     def __post_init__(self) -> None:
-        told = self.told
+        told = self.settings
         run = self.rng.getrandbits(63) + 1
         self.members = Members(
-            told.me, told.count, told.zone, run, told.regions, self.rng, told.period, due=self.now
+            told.own_index, told.count, told.zone, run, told.regions, self.rng, told.period, due=self.now
         )
-        self.facts = Facts(self.members, told.zones, len(told.kinds))
-        self.accord = Accord(self.members, self.rng, self.now)
+        self.facts = ZoneObservations(self.members, told.zones, len(told.kinds))
+        self.agreement = Agreement(self.members, self.rng, self.now)
         self.plan, self.planned_at = plan.at_home(told.zones, len(told.kinds)), self.now
         self.datagrams, self.size = Ceiling(told.datagrams, at=self.now), Ceiling(told.size, at=self.now)
 
     # In and out.
 
-    def hears(self, data: bytes, now: float) -> Out:
+    def receive(self, data: bytes, now: float) -> Out:
         try:
             packet = self.keys.open(data)
-        except wire.Refused as why:
+        except wire.RefusedDatagramError as why:
             self.figures[f"refused: {why}"] += 1
             return []
         answers, believed = self.members.hears(packet, now)
@@ -109,47 +109,47 @@
             self.figures["heard"] += 1
             for fact in packet.facts:
                 self.facts.hear(fact, now)
-            if packet.vote is not None and packet.regions == self.told.regions:
-                self.accord.hear(packet.vote, now)
+            if packet.vote is not None and packet.regions == self.settings.regions:
+                self.agreement.receive_vote(packet.vote, now)
         else:
             self.figures["not believed"] += 1
         return self._out(answers, now) + self._at_once(now)
 
-    def turns(self, now: float) -> Out:
+    def timer_due(self, now: float) -> Out:
         out = self._out(self.members.turns(now), now)
-        if now >= self.planned_at + self.told.period:
+        if now >= self.planned_at + self.settings.period:
             self._plan(now)
         return out + self._at_once(now)
 
     def _at_once(self, now: float) -> Out:
         """A vote that has changed is passed on at once, so that it comes round in a few steps at any size."""
-        vote = self.accord.tells()
-        if vote == self.passed_on or now < self.passed_at + SOON * self.told.period:
+        vote = self.agreement.tells()
+        if vote == self.passed_on or now < self.passed_at + SOON * self.settings.period:
             return []
         self.passed_on, self.passed_at = vote, now
         return self._out(self.members.some(FAN), now)
 
     def next_at(self, now: float) -> float:
-        return max(now, min(self.members.next_at(now), self.planned_at + self.told.period))
+        return max(now, min(self.members.next_at(now), self.planned_at + self.settings.period))
 
-    def sees(self, seen: tuple[Seen, ...], now: float) -> None:
+    def observe(self, seen: tuple[ZoneObservation, ...], now: float) -> None:
         """What this balancer sees. In a large tier told anew every other period: others' facts want room."""
-        if self.looks(now):
+        if self.observation_is_due(now):
             self.seen_at = now
             self.facts.see(seen, now)
 
-    def looks(self, now: float) -> bool:
+    def observation_is_due(self, now: float) -> bool:
         """Whether it is time to look again; before that nothing need be reckoned."""
-        return now >= self.seen_at + (1 if self.told.count < FEW else 2) * self.told.period
+        return now >= self.seen_at + (1 if self.settings.count < FEW else 2) * self.settings.period
 
-    def leaves(self, now: float) -> Out:
+    def leave(self, now: float) -> Out:
         return self._out(self.members.leave(), now)
 
     def _out(self, sends: list[Send], now: float) -> Out:
         out: Out = []
         for to, packet in sends:
             if packet.kind != wire.HELLO:
-                packet = msgspec.structs.replace(packet, vote=self.accord.tells())
+                packet = msgspec.structs.replace(packet, vote=self.agreement.tells())
                 spare = wire.LARGEST - wire.size(packet) - 4  # a long list's head
                 if spare < 0:  # news gives way to the vote
                     packet = msgspec.structs.replace(packet, news=packet.news[:1])
@@ -169,7 +169,7 @@
     def zones(self, now: float) -> tuple[Zone, ...]:
         return self.facts.all_zones(now)
 
-    def strange(self) -> bool:
+    def map_mismatch(self) -> bool:
         """Others have another region map: told, and nothing is acted on while they are as many as the
         rest."""
         there = len(self.members.alive()) - 1
@@ -180,30 +180,30 @@
         self.facts.forget(now)
         zones = self.zones(now)
         self._want(zones, now)
-        if self.strange():
-            target = plan.at_home(self.told.zones, len(self.told.kinds))
+        if self.map_mismatch():
+            target = plan.at_home(self.settings.zones, len(self.settings.kinds))
         else:
-            target = plan.make(zones, self.told.kinds, self.told.ways, self._closed(zones))
+            target = plan.make(zones, self.settings.kinds, self.settings.ways, self._closed(zones))
         before = self.plan
-        self.plan = plan.toward(self.plan, target, min(span, 4 * self.told.period))
+        self.plan = plan.toward(self.plan, target, min(span, 4 * self.settings.period))
         self.figures["plan steps"] += self.plan.shares != before.shares
 
     def _closed(self, zones: tuple[Zone, ...]) -> int:
         """What is agreed, as far as the own facts say that the rest can bear it: a zone with no room is
         closed anyhow, by having none."""
-        closed = self.accord.closed
+        closed = self.agreement.closed
         need, room = plan.bears(zones, closed)
         empty = sum(1 << z for z, zone in enumerate(zones) if zone.room <= EMPTY * zone.warm)
         return closed if need <= room else closed & empty
 
     def _want(self, zones: tuple[Zone, ...], now: float) -> None:
         """Which zones should be closed, by the facts and the operators; asked of the others once it lasts."""
-        period, wanted = self.told.period, 0
+        period, wanted = self.settings.period, 0
         stands = sum(1 << z for z, zone in enumerate(zones) if zone.room > FILLED * zone.warm > 0.0)
-        self.accord.stands = stands & ~self.told.evacuate
-        self.accord.look(now)
+        self.agreement.stands = stands & ~self.settings.evacuate
+        self.agreement.look(now)
         for z, zone in enumerate(zones):
-            closed = bool(self.accord.closed >> z & 1)
+            closed = bool(self.agreement.closed >> z & 1)
             has = zone.origins > 0 and zone.room > (FILLED if closed else EMPTY) * zone.warm and zone.warm > 0
             for marks, holds in ((self.empty, not has), (self.filled, has)):
                 if holds:
@@ -214,7 +214,7 @@
                 wanted |= (now - self.filled.get(z, now) < LONG * period) << z
             elif zone.origins:
                 wanted |= (now - self.empty.get(z, now) >= SHORT * period) << z
-        asked = self.told.evacuate | wanted
+        asked = self.settings.evacuate | wanted
         need, room = plan.bears(zones, asked)
-        self.refused = (need, room) if self.told.evacuate and need > room else None
-        self.accord.propose(asked if need <= room else wanted, now)
+        self.refused = (need, room) if self.settings.evacuate and need > room else None
+        self.agreement.propose(asked if need <= room else wanted, now)
--- a/pointgw/tier/plan.py
+++ b/pointgw/tier/plan.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ways:
+class RegionLinks:
     """What is between zones."""
 
     region: tuple[int, ...]  # of each zone
@@ -48,11 +48,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class ProfileCosts:
     """A profile, as the plan sees it."""
 
     credit: float
-    setup_goal: float
+    attempt_timeout: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,9 @@
     )
 
 
-def make(zones: tuple[Zone, ...], kinds: tuple[Kind, ...], ways: Ways, closed: int = 0) -> Plan:
+def make(
+    zones: tuple[Zone, ...], kinds: tuple[ProfileCosts, ...], ways: RegionLinks, closed: int = 0
+) -> Plan:
     """The plan that these facts give. A zone that none has told of has no room and needs nothing: its own
     traffic stays at home, for its balancers to decide by their own eyes."""
     count = len(zones)
@@ -118,8 +120,8 @@
     rest: dict[tuple[int, int], float],
     left: list[float],
     placed: list[list[list[float]]],
-    kinds: tuple[Kind, ...],
-    ways: Ways,
+    kinds: tuple[ProfileCosts, ...],
+    ways: RegionLinks,
     ring: float,
 ) -> bool:
     """One round of a ring: what wants to go is split over what is open to it by what is left there, and cut
@@ -133,7 +135,7 @@
             for w in range(len(left))
             if ways.ring(z, w) == ring
             and left[w] > LEAST
-            and (z == w or ways.late(z, w) <= WAY * kinds[k].setup_goal)
+            and (z == w or ways.late(z, w) <= WAY * kinds[k].attempt_timeout)
         ]
         room = sum(left[w] for w in able)
         for w in able:
--- a/pointgw/tier/run.py
+++ b/pointgw/tier/run.py
@@ -7,25 +7,25 @@
 from collections.abc import Callable
 from typing import cast
 
-from pointgw.tier.node import Out, Tier
+from pointgw.tier.node import ClusterNode, Out
 
 LEAST = 0.005  # seconds between two turns
 
 Address = tuple[str, int]
 
 
-class Voice(asyncio.DatagramProtocol):
+class ClusterTransport(asyncio.DatagramProtocol):
     """Speaks for one balancer. `before` is called before each turn, `after` once it was taken."""
 
     def __init__(
         self,
-        tier: Tier,
+        tier: ClusterNode,
         peers: tuple[Address, ...],
         loop: asyncio.AbstractEventLoop,
         before: Callable[[float], None],
         after: Callable[[float], None],
     ) -> None:
-        self.tier, self.peers, self.loop, self.before, self.after = tier, peers, loop, before, after
+        self.node, self.peers, self.loop, self.before, self.after = tier, peers, loop, before, after
         self.transport: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.others: dict[bytes, Callable[[bytes, Address], None]] = {}  # who takes datagrams of other names
@@ -39,23 +39,23 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        if not self.tier.keys.keys and not ipaddress.ip_address(addr[0]).is_loopback:
-            self.tier.figures["refused: unsigned, from elsewhere"] += 1
+        if not self.node.keys.keys and not ipaddress.ip_address(addr[0]).is_loopback:
+            self.node.figures["refused: unsigned, from elsewhere"] += 1
             return
         if data[:2] in self.others:
             self.others[data[:2]](data, addr)
             return
-        self._send(self.tier.hears(data, self.loop.time()))
+        self._send(self.node.receive(data, self.loop.time()))
 
     def error_received(self, exc: Exception) -> None:
-        self.tier.figures["not delivered"] += 1  # nobody listens there; time tells
+        self.node.figures["not delivered"] += 1  # nobody listens there; time tells
 
     def _turn(self) -> None:
         now = self.loop.time()
         self.before(now)
-        self._send(self.tier.turns(now))
+        self._send(self.node.timer_due(now))
         self.after(now)
-        self.timer = self.loop.call_later(max(LEAST, self.tier.next_at(now) - now), self._turn)
+        self.timer = self.loop.call_later(max(LEAST, self.node.next_at(now) - now), self._turn)
 
     def _send(self, out: Out) -> None:
         if self.transport is None or self.transport.is_closing():
@@ -68,5 +68,5 @@
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None:
-            self._send(self.tier.leaves(self.loop.time()))
+            self._send(self.node.leave(self.loop.time()))
             self.transport.close()
--- a/pointgw/tier/wire.py
+++ b/pointgw/tier/wire.py
@@ -104,7 +104,7 @@
 _decoder = msgspec.msgpack.Decoder(Packet)
 
 
-class Refused(Exception):
+class RefusedDatagramError(Exception):
     """A datagram that is no sound packet; its text is one of a few words, for counting."""
 
 
@@ -127,27 +127,27 @@
         return data
 
     def open(self, data: bytes) -> Packet:
-        """Raises `Refused`. Nothing of the body is read before the signature holds."""
+        """Raises `RefusedDatagramError`. Nothing of the body is read before the signature holds."""
         try:
             return _decoder.decode(self.unseal(data))
         except (msgspec.DecodeError, UnicodeDecodeError):
-            raise Refused("malformed") from None
+            raise RefusedDatagramError("malformed") from None
 
     def unseal(self, data: bytes, magic: bytes = MAGIC) -> bytes:
-        """The body, its signature verified. Raises `Refused`."""
+        """The body, its signature verified. Raises `RefusedDatagramError`."""
         if len(data) > LARGEST:
-            raise Refused("too long")
+            raise RefusedDatagramError("too long")
         if len(data) < HEAD + SIGNED or data[:2] != magic:
-            raise Refused("not ours")
+            raise RefusedDatagramError("not ours")
         if data[2] != VERSION:
-            raise Refused("another version")
+            raise RefusedDatagramError("another version")
         head, signature, body = data[:HEAD], data[HEAD : HEAD + SIGNED], data[HEAD + SIGNED :]
         for key in self.keys or (b"",):
             if data[3] == (_which(key) if key else 0):
                 if compare_digest(_signature(key, head, body), signature):
                     return body
-                raise Refused("forged")
-        raise Refused("another key")
+                raise RefusedDatagramError("forged")
+        raise RefusedDatagramError("another key")
 
 
 def _which(key: bytes) -> int:
--- a/tests/crossing/test_hand_over.py
+++ b/tests/crossing/test_hand_over.py
@@ -7,9 +7,9 @@
 import pytest
 
 from crossing.world import HeldLoop, World, opening, play, turns, until
-from pointgw.net.invariant import broken
+from pointgw.net.invariant import violations
 from pointgw.net.memory import events as ev
-from pointgw.net.run.node import Node
+from pointgw.net.run.node import BalancerProcess
 from pointgw.net.wire.lines import LONGEST
 
 
@@ -22,7 +22,7 @@
 
 
 def test_lines_in_the_answers_own_segment_follow_it() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, server = await asked(world)
         server.say(b"UP r-1\r\nLOAD 5\r\nhello\r\nhal")
         for line in (b"UP r-1\r\n", b"LOAD 5\r\n", b"hello\r\n"):
@@ -34,7 +34,7 @@
 
 
 def test_half_a_line_before_a_reset_is_not_passed_on_and_the_client_is_broken_too() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, server = await world.opened()
         server.say(b"whole\r\nhal")
         assert await client.line() == b"whole\r\n"
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_a_last_line_in_two_reads_ends_in_order_however_its_connection_does(last: bytes, how: str) -> None:
     # Guards the last line against a reset passed on: the server had said that it ends.
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, server = await world.opened()
         server.say(b"b\r\n" + last[:2])
         assert await client.line() == b"b\r\n"
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("joined", [True, False])
 def test_a_line_that_never_ends_is_bounded(joined: bool) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, server = await (world.opened() if joined else asked(world))
         (side,) = node.servers.values()
         most = 0
@@ -80,78 +80,80 @@
 
 @pytest.mark.parametrize("left_first", [True, False])
 def test_the_answer_and_the_clients_end_in_one_turn(left_first: bool) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, server = await asked(world)
         events: list[Any] = []
         feed = node.feed
 
         def hold(event: Any) -> None:
-            (events.append if isinstance(event, ev.Opened | ev.Left) else feed)(event)
+            (events.append if isinstance(event, ev.SetupOpened | ev.ClientLeft) else feed)(event)
 
         node.feed = hold  # type: ignore[method-assign]
         server.say(b"UP r-1\r\nhello\r\n")
         client.reset()
         await until(lambda: len(events) == 2)
         node.feed = feed  # type: ignore[method-assign]
-        order = sorted(events, key=lambda event: isinstance(event, ev.Left) is not left_first)
+        order = sorted(events, key=lambda event: isinstance(event, ev.ClientLeft) is not left_first)
         for event in order:
             feed(event)
         await turns()
-        assert not node.servers and not node.reducer.clients and not node.reducer.balancer.out
-        assert not any(ep.trying or ep.tunnels for ep in node.reducer.balancer.servers.values())
+        assert not node.servers and not node.reducer.clients and not node.reducer.balancer.setups_in_progress
+        assert not any(ep.pending_setups or ep.tunnels for ep in node.reducer.balancer.servers.values())
 
     play(scene, World())
 
 
-@pytest.mark.parametrize("step", ["opened", "may_write", "ended"])
+@pytest.mark.parametrize("step", ["setup_opened", "may_write_request", "setup_ended"])
 def test_a_fault_of_a_decision_ends_one_tunnel_with_an_answer(monkeypatch: Any, step: str) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         balancer = node.reducer.balancer
         with monkeypatch.context() as patch:
             patch.setattr(balancer, step, lambda *_: 1 // 0)
             client = await world.client()
             client.say(opening())
             _, server = await world.setup()
-            if step == "opened":
+            if step == "setup_opened":
                 server.say(b"UP r-1\r\nraw\r\n")  # guards a client that was not joined from raw lines
-            elif step == "ended":
+            elif step == "setup_ended":
                 server.reset()
             assert await client.rest() == b"ERR\r\n"
             await until(lambda: not node.servers)
-            assert step == "ended" or not balancer.out  # nothing is reckoned to be out for ever
-        assert broken["event_failed"]
+            assert (
+                step == "setup_ended" or not balancer.setups_in_progress
+            )  # nothing is reckoned to be out for ever
+        assert violations["event_failed"]
         opened, _ = await world.opened("two")  # and the next one is served
         opened.close()
 
-    broken.clear()
+    violations.clear()
     play(scene, World(limits={"mayCancel": False}))
-    broken.clear()
+    violations.clear()
 
 
 def test_a_fault_as_an_open_tunnel_ends_ends_its_client() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, server = await world.opened()
-        take = node.reducer.take
+        take = node.reducer.dispatch
 
         def fault(event: Any, now: float) -> Any:
-            if isinstance(event, ev.Ended):
+            if isinstance(event, ev.SetupEnded):
                 raise ZeroDivisionError
             return take(event, now)
 
-        node.reducer.take = fault  # type: ignore[method-assign]
+        node.reducer.dispatch = fault  # type: ignore[method-assign]
         server.say(b"BYE\r\n")
         server.end()
         with pytest.raises(ConnectionResetError):
             await client.rest()
         await until(lambda: not node.clients and not node.reducer.clients)
 
-    broken.clear()
+    violations.clear()
     play(scene, World())
-    broken.clear()
+    violations.clear()
 
 
 def test_lines_of_a_client_after_its_servers_end_are_read_and_dropped() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, server = await world.opened()
         server.say(b"BYE\r\n")
         server.end()
@@ -165,7 +167,7 @@
 def test_the_clients_last_lines_reach_a_server_that_reads_slowly() -> None:
     lines = b"".join(b"%07d" % i + b"x" * 1000 + b"\r\n" for i in range(3000))
 
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, server = await world.opened()
         server.hold()
         client.say(lines)
--- a/tests/crossing/test_idle.py
+++ b/tests/crossing/test_idle.py
@@ -11,17 +11,17 @@
 
 from crossing.world import Conn, HeldLoop, World, opening, play, turns, until
 from pointgw.net.memory.effects import Probe
-from pointgw.net.memory.events import Probed
-from pointgw.net.run.node import Node
+from pointgw.net.memory.events import ProbeEnded
+from pointgw.net.run.node import BalancerProcess
 
 REPORT = b"PONG util=0.2,qps=1,x0=0.2\r\n"
 
 
-async def probed(node: Node, world: World) -> tuple[list[Probed], Any, Conn]:
+async def probed(node: BalancerProcess, world: World) -> tuple[list[ProbeEnded], Any, Conn]:
     """What probes of server 0 brought, how to make one, and the connection that the first one kept."""
-    told: list[Probed] = []
+    told: list[ProbeEnded] = []
     feed = node.feed
-    node.feed = lambda e: told.append(e) if isinstance(e, Probed) else feed(e)  # type: ignore[assignment]
+    node.feed = lambda e: told.append(e) if isinstance(e, ProbeEnded) else feed(e)  # type: ignore[assignment]
     ask = Probe("s-0", ("127.0.0.1", world.servers[0].port), 0.5, 0.2)
     node._do(ask)
     conn = await world.servers[0].conn()
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("how", ["end", "reset", "close"])
 def test_a_probe_that_crosses_the_end_of_its_idle_connection_goes_out_anew(how: str) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         told, ask, conn = await probed(node, world)
         getattr(conn, how)()  # on its way as the next probe is written
         node._do(ask)
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("late", [True, False])
 def test_a_second_answer_to_a_probe_is_not_the_next_ones(late: bool) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         told, ask, conn = await probed(node, world)
         if late:
             conn.say(b"PONG x0=9\r\n")
@@ -70,10 +70,10 @@
 
 
 def test_a_probes_dial_that_was_given_up_acts_on_nothing() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
-        told: list[Probed] = []
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
+        told: list[ProbeEnded] = []
         feed = node.feed
-        node.feed = lambda e: told.append(e) if isinstance(e, Probed) else feed(e)  # type: ignore[assignment]
+        node.feed = lambda e: told.append(e) if isinstance(e, ProbeEnded) else feed(e)  # type: ignore[assignment]
         loop.before = asyncio.Event()
         ask = Probe("s-0", ("127.0.0.1", world.servers[0].port), 0.5, 0.1)
         node._do(ask)
@@ -92,10 +92,10 @@
 
 
 def test_a_probes_dial_that_came_up_as_its_time_ran_out_is_judged_by_its_answer() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
-        told: list[Probed] = []
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
+        told: list[ProbeEnded] = []
         feed = node.feed
-        node.feed = lambda e: told.append(e) if isinstance(e, Probed) else feed(e)  # type: ignore[assignment]
+        node.feed = lambda e: told.append(e) if isinstance(e, ProbeEnded) else feed(e)  # type: ignore[assignment]
         loop.after = asyncio.Event()
         node._do(Probe("s-0", ("127.0.0.1", world.servers[0].port), 1.0, 0.1))
         conn = await world.servers[0].conn()
@@ -109,7 +109,7 @@
 
 
 def test_a_line_that_is_there_as_the_first_lines_clock_comes_due_is_served() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         await until(lambda: node.connections.idle)
         client.sock.setblocking(False)
@@ -125,7 +125,7 @@
 
 
 def test_a_line_that_is_there_as_its_descriptor_is_wanted_is_served() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         await until(lambda: len(node.connections.idle) == 1)
         came = node.accepted
@@ -149,7 +149,7 @@
 
 
 def test_one_that_is_written_slowly_has_the_whole_time_of_a_client() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         client.say(opening()[:20])
         await until(lambda: [side for side in node.connections.idle if side.buffer])
@@ -163,7 +163,7 @@
 
 
 def test_a_ping_in_pieces_then_a_request() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         for byte in b"PING\r\n":
             client.say(bytes([byte]))
@@ -177,7 +177,7 @@
 
 
 def test_many_that_send_at_once_and_leave_cost_nothing_that_stays() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         for i in range(60):
             client = await world.client()
             client.say(opening() + b"z" * 100_000 if i % 2 else b"z" * 200_000)
@@ -189,7 +189,7 @@
 
 
 def test_connections_that_were_answered_and_do_not_end_make_room_first() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         stay = [await world.client() for _ in range(6)]
         for conn in stay:
             conn.hold()
@@ -209,7 +209,7 @@
 
 def test_a_client_that_stops_amid_its_line_is_answered_within_three_seconds_of_coming() -> None:
     # Also where clients wait longer than that for an answer.
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         began = time.monotonic()
         amid, silent = await world.client(), await world.client()
         amid.say(opening()[:20])
--- a/tests/crossing/test_list_entries.py
+++ b/tests/crossing/test_list_entries.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from crossing.world import HeldLoop, World, play, turns, until
-from pointgw.net.run.node import Node
-from pointgw.net.wire.start import start
+from pointgw.net.run.node import BalancerProcess
+from pointgw.net.wire.start import parse_start_up_file
 
 ODD: tuple[dict[str, Any], ...] = (
     {"weight": None},
@@ -27,7 +27,7 @@
 
 
 def test_an_entry_that_cannot_be_used_does_not_hide_another_servers_drain() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         for version, odd in enumerate(ODD, start=2):
             drains = version % 2
             states = {drains: "draining", 1 - drains: "up"}
@@ -44,7 +44,7 @@
 
 
 def test_a_server_without_an_address_gets_nothing_and_the_others_serve() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         nameless = world.line(0, name="s-9") | {"address": ""}
         world.watch.answer(2, nameless, world.line(0, status="draining"))
         await until(lambda: node.reducer.index == 2)
@@ -60,5 +60,5 @@
     told = json.loads(world.told())
     base = {"name": "s-0", "address": "127.0.0.1:7000", "zone": "a", "type": "m", "status": "up"}
     told["known"]["endpoints"] = [base] + [base | {"name": f"s-{i}"} | odd for i, odd in enumerate(ODD, 1)]
-    begun = start(json.dumps(told).encode())
-    assert begun.known.servers[0].state == "active"
+    begun = parse_start_up_file(json.dumps(told).encode())
+    assert begun.known_list.servers[0].state == "active"
--- a/tests/crossing/test_own_faults.py
+++ b/tests/crossing/test_own_faults.py
@@ -9,16 +9,16 @@
 import pytest
 
 from crossing.world import HeldLoop, World, opening, play, until
-from pointgw.net.invariant import broken
+from pointgw.net.invariant import violations
 from pointgw.net.run import server as server_module
-from pointgw.net.run.node import Node
+from pointgw.net.run.node import BalancerProcess
 from pointgw.net.run.periodic import Periodic
 from pointgw.policy import Balancer
 
 
 @pytest.fixture(autouse=True)
 def no_counts() -> None:
-    broken.clear()
+    violations.clear()
 
 
 def failing(times: int, then: Any) -> Any:
@@ -49,23 +49,23 @@
         periodic.stop()
         count = len(done)
         await asyncio.sleep(0.05)
-        assert count >= 3 and len(done) == count and broken["periodic_test"] == 1
+        assert count >= 3 and len(done) == count and violations["periodic_test"] == 1
 
     asyncio.run(main())
 
 
 def test_a_tick_that_fails_is_followed_by_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         monkeypatch.setattr(Balancer, "_round", failing(3, Balancer._round))
         rounds = node.reducer.balancer.round_at
         await until(lambda: node.reducer.balancer.round_at > rounds)
-        assert broken["event_failed"] == 3
+        assert violations["event_failed"] == 3
 
     play(scene, World())
 
 
 def test_a_stop_whose_step_fails_ends_all_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, _ = await world.opened()
         stopping = type(node.reducer)._stopping
         monkeypatch.setattr(type(node.reducer), "_stopping", failing(2, stopping))
@@ -77,35 +77,35 @@
 
 
 def test_a_stop_that_never_ends_by_itself_is_ended_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         monkeypatch.setattr(type(node.reducer), "_stopping", failing(10**6, None))
         began = time.monotonic()
         node.stop()
         await asyncio.wait_for(asyncio.shield(node.ended), 4.0)
-        assert time.monotonic() - began < node.reducer.stop_within + 0.2
-        assert broken["stop_not_ended"] == 1
+        assert time.monotonic() - began < node.reducer.stop_time_limit + 0.2
+        assert violations["stop_not_ended"] == 1
 
     play(scene, World())
 
 
 def test_an_attempt_that_cannot_be_begun_is_followed_by_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         begin = server_module.ServerSide.__init__
         monkeypatch.setattr(server_module.ServerSide, "__init__", failing(1, begin))
         await world.opened()
-        assert broken["effect_failed"] == 1
+        assert violations["effect_failed"] == 1
 
     play(scene, World())
 
 
 def test_a_request_that_the_decisions_forget_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
-        monkeypatch.setattr(Balancer, "arrived", lambda *args: None)
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
+        monkeypatch.setattr(Balancer, "tunnel_arrived", lambda *args: None)
         client = await world.client()
         client.say(opening(patience=300))
         began = time.monotonic()
         assert await client.line() == b"ERR\r\n"
         assert time.monotonic() - began < 0.3 + 0.5
-        assert broken["answer_overdue"] == 1
+        assert violations["answer_overdue"] == 1
 
     play(scene, World())
--- a/tests/crossing/test_probe_connections.py
+++ b/tests/crossing/test_probe_connections.py
@@ -9,7 +9,7 @@
 from crossing.daemon import answer_requests
 from crossing.world import HeldLoop, World, opening, play, until
 from pointgw.net.memory.effects import Probe
-from pointgw.net.run.node import Node
+from pointgw.net.run.node import BalancerProcess
 
 SERVERS = 600
 DESCRIPTORS = 256
@@ -29,12 +29,12 @@
         return json.dumps(told).encode()
 
 
-def kept(node: Node) -> int:
+def kept(node: BalancerProcess) -> int:
     return sum(side.link is not None for side in node.probes.open.values())
 
 
 def test_connections_kept_for_probes_leave_the_descriptors_to_clients() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         answering = asyncio.create_task(answer_requests(world))
         most = 0
         try:
@@ -52,7 +52,7 @@
 
 
 def test_a_server_that_is_to_get_nothing_more_keeps_no_connection_for_probes() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         answering = asyncio.create_task(answer_requests(world))
         try:
             for number in range(20):
@@ -62,7 +62,7 @@
                 client.close()
             assert kept(node)
             world.watch.answer(2, *[world.line(i, status="draining") for i in range(SERVERS)])
-            await until(lambda: not node.reducer.balancer.live)
+            await until(lambda: not node.reducer.balancer.active_servers)
             await until(lambda: not kept(node) and not len(node.probes))
         finally:
             answering.cancel()
@@ -71,7 +71,7 @@
 
 
 def test_a_server_that_moved_is_not_probed_where_it_was() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         answering = asyncio.create_task(answer_requests(world))
         try:
             address = ("127.0.0.1", world.servers[0].port)
--- a/tests/crossing/test_setup.py
+++ b/tests/crossing/test_setup.py
@@ -11,7 +11,7 @@
 from crossing.world import HeldLoop, World, opening, play, turns, until
 from pointgw.net.memory import events as ev
 from pointgw.net.run import ends
-from pointgw.net.run.node import Node
+from pointgw.net.run.node import BalancerProcess
 
 ONCE = {"semantics": "side_effect"}
 GONE = 0.1  # seconds after which nothing of a client that has left may be sent on
@@ -20,13 +20,13 @@
 
 def test_a_dials_time_out_after_the_line_was_written_is_not_taken_as_never_sent() -> None:
     # Guards rule 2: the dial's clock comes due between the write and the step after it.
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         loop.after = asyncio.Event()  # up, written, and the dial has not come back yet
         client = await world.client()
         client.say(opening())
         _, server = await world.setup()
         assert (await server.line()).startswith(b"OPEN 9b1f")
-        await asyncio.sleep(1.5 * node.reducer.connect_within)
+        await asyncio.sleep(1.5 * node.reducer.connect_timeout)
         server.say(b"UP r-1\r\n")
         assert await client.line() == b"UP r-1\r\n"
         assert sum(len(peer.conns) for peer in world.servers) == 1
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_a_client_that_leaves_while_its_server_is_dialled_is_not_sent_on(may_cancel: bool, how: str) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         loop.before = asyncio.Event()
         client = await world.client()
         client.say(opening())
@@ -56,12 +56,12 @@
 def test_a_client_that_leaves_as_its_connection_comes_up(may_cancel: bool, left_first: bool) -> None:
     """Both orders of the client's end and the server's connection, in one turn of the loop."""
 
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         events: list[Any] = []
         feed = node.feed
 
         def hold(event: Any) -> None:
-            if isinstance(event, ev.Dialled | ev.Left):
+            if isinstance(event, ev.SetupConnected | ev.ClientLeft):
                 events.append(event)
             else:
                 feed(event)
@@ -88,12 +88,12 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_a_client_that_leaves_while_queued_is_not_sent_on(may_cancel: bool) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         world.watch.answer(2, *(world.line(i, status="draining") for i in range(2)))
         watch = await world.discovery.call(world.watch.conn)
         client = await world.client()
         client.say(opening())
-        await until(lambda: node.reducer.balancer.held)
+        await until(lambda: node.reducer.balancer.queue)
         client.end()
         # What makes a server ready comes in the same turn as the client's end.
         watch.answer(3, *(world.line(i, status="up") for i in range(2)))
@@ -111,7 +111,7 @@
 ) -> None:
     """Its end is in the socket; the loop, busy or with other events before it, has not come to it."""
 
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         loop.before = asyncio.Event()
         client = await world.client()
         client.say(opening())
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_no_further_setup_is_dialled_for_a_client_whose_end_was_not_read_yet(how: str) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         client.say(opening())
         _, server = await world.setup()
@@ -148,7 +148,7 @@
 
 
 def test_a_client_whose_line_and_end_come_at_once_is_not_sent_on() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         for _ in range(20):
             client = await world.client()
             client.say(opening())
@@ -161,7 +161,7 @@
 
 def test_a_server_told_away_while_it_is_dialled_gets_nothing() -> None:
     # Guards rule 3: what binds is when the first byte goes out.
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         loop.before = asyncio.Event()
         client = await world.client()
         client.say(opening())
@@ -184,7 +184,7 @@
 
 def test_a_repeat_whose_window_ends_while_it_is_dialled_is_not_written() -> None:
     # Guards rule 2: the window counts to the write, not to the choice.
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         client.say(opening())
         _, server = await world.setup()
@@ -194,8 +194,8 @@
         server.reset()  # it may have run: a repeat is chosen within the window
         await loop.dialling.wait()
         (client_of,) = node.reducer.clients.values()
-        first = client_of.tun.setups[0].sent_at
-        await until(lambda: node.now() > first + client_of.tun.profile.window)
+        first = client_of.tunnel.setups[0].sent_at
+        await until(lambda: node.now() > first + client_of.tunnel.profile.dedup_window)
         loop.before.set()
         # Where any server may repeat it, a decline promises nothing that is not so.
         assert await client.rest() in (b"ERR\r\n", b"BUSY\r\n")
@@ -206,7 +206,7 @@
 
 
 def test_the_time_told_to_the_server_is_what_is_left_when_the_line_goes_out() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         loop.before = asyncio.Event()
         client = await world.client()
         client.say(opening())
@@ -226,7 +226,7 @@
 def test_an_answer_that_is_there_as_the_time_runs_out_counts_once(profile: dict[str, Any]) -> None:
     """The answer is in the socket and the clock is due in the same turn: the clock comes first."""
 
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         client.say(opening())
         _, server = await world.setup()
@@ -250,7 +250,7 @@
     "answer", [b"UP\r\n", b"UP \r\n", b"what\r\n", b"x" * 5000, b"ERR\r\nUP r-9\r\n", b"\xff\xfe\r\n"]
 )
 def test_a_spoilt_answer_ends_the_setup_as_one_that_may_have_run(answer: bytes) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         client.say(opening())
         _, server = await world.setup()
@@ -264,7 +264,7 @@
 
 
 def test_a_second_answer_after_a_decline_opens_nothing() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         client.say(opening())
         at, server = await world.setup()
@@ -281,12 +281,12 @@
 
 
 def test_an_end_of_the_server_before_the_line_was_written_proves_that_it_never_ran() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         held: list[Any] = []
         feed = node.feed
 
         def hold(event: Any) -> None:
-            (held.append if isinstance(event, ev.Dialled) else feed)(event)
+            (held.append if isinstance(event, ev.SetupConnected) else feed)(event)
 
         node.feed = hold  # type: ignore[method-assign]
         client = await world.client()
--- a/tests/crossing/test_shutdown.py
+++ b/tests/crossing/test_shutdown.py
@@ -17,20 +17,20 @@
 from crossing.world import HeldLoop, World, opening, play, turns, until
 from pointgw.net.memory import effects as fx
 from pointgw.net.memory.reducer import ARRIVE_ON
-from pointgw.net.run.node import Node
+from pointgw.net.run.node import BalancerProcess
 
 STALL = {"setupGoal": 100.0, "clientTimeout": 300.0}  # the shortest stop: 0.9 s
 
 
 def test_a_loop_that_stands_still_over_the_whole_stop_still_moves_and_answers() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, _ = await world.opened("one")
         loop.before = asyncio.Event()
         waiting = await world.client()
         waiting.say(opening("two", 300))
         await loop.dialling.wait()
         node.stop()
-        time.sleep(node.reducer.stop_within + 0.1)  # nothing of ours runs meanwhile
+        time.sleep(node.reducer.stop_time_limit + 0.1)  # nothing of ours runs meanwhile
         assert await client.rest() == b"MOVE\r\n"
         assert await waiting.rest() in (b"BUSY\r\n", b"ERR\r\n")
         await asyncio.wait_for(node.ended, 2)
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("crosses", [True, False])
 def test_one_that_rests_is_ended_in_order_and_what_crosses_that_is_not_sent_on(crosses: bool) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         client.say(b"PING\r\n")
         assert await client.line() == b"PONG\r\n"
@@ -60,13 +60,13 @@
 def test_a_request_on_a_resting_connection_in_the_moment_of_its_end_is_answered() -> None:
     """Its line is in the balancer's socket, and not read, as the resting ones are ended."""
 
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         await until(lambda: node.connections.idle)
         do = node._do
 
         def hold(effect: Any) -> None:
-            if isinstance(effect, fx.EndIdle) and not client.writer.is_closing():
+            if isinstance(effect, fx.CloseIdleClients) and not client.writer.is_closing():
                 client.sock.setblocking(False)
                 os.write(client.sock.fileno(), opening())
             do(effect)
@@ -80,12 +80,12 @@
 
 
 def test_one_in_the_accept_backlog_as_the_balancer_leaves_is_answered() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         late: list[socket.socket] = []
         do = node._do
 
         def hold(effect: Any) -> None:
-            if isinstance(effect, fx.Exit) and not late:
+            if isinstance(effect, fx.ExitProcess) and not late:
                 late.append(socket.create_connection(("127.0.0.1", world.listen)))
                 late[0].sendall(opening())
             do(effect)
@@ -105,7 +105,7 @@
 def test_a_slow_reader_gets_its_last_lines_and_the_move() -> None:
     lines = b"".join(b"%07d" % i + b"x" * 1000 + b"\r\n" for i in range(4000))
 
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, server = await world.opened()
         client.hold()
         server.say(lines)
@@ -123,7 +123,7 @@
 
 
 def test_a_final_answer_reaches_a_client_that_has_sent_a_flood() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         client.say(opening() + b"y" * 3_000_000)
         assert await client.rest() == b"ERR\r\n"
@@ -132,7 +132,7 @@
 
 
 def test_one_that_is_moved_and_comes_back_within_the_stop_is_told_to_go_elsewhere() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, _ = await world.opened("one")
         node.stop()
         assert await client.rest() == b"MOVE\r\n"
@@ -146,7 +146,7 @@
 
 
 def test_a_hung_setup_gets_one_answer_before_the_process_may_be_killed() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         client.say(opening())
         await world.setup()
@@ -161,7 +161,7 @@
 
 
 def test_signals_while_stopping_change_nothing() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, server = await world.opened()
         before = node.discovery
         os.kill(os.getpid(), signal.SIGTERM)
@@ -179,15 +179,15 @@
 
 
 def test_a_term_while_the_file_is_read_again_is_a_stop_after_it() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, _ = await world.opened()
-        again = node.again
+        again = node.read_settings
 
         def read() -> Any:
             os.kill(os.getpid(), signal.SIGTERM)
             return again()
 
-        node.again = read
+        node.read_settings = read
         os.kill(os.getpid(), signal.SIGHUP)
         assert await client.rest() == b"MOVE\r\n"
         client.close()
@@ -199,12 +199,12 @@
 class Slow:
     """What stands beside a balancer and takes its time, at its start and at its end."""
 
-    voice = None
+    transport = None
 
     def __init__(self) -> None:
         self.began, self.go, self.stopped = asyncio.Event(), asyncio.Event(), 0
 
-    async def speak(self, *_: Any) -> None:
+    async def start(self, *_: Any) -> None:
         self.began.set()
         os.kill(os.getpid(), signal.SIGTERM)
         await self.go.wait()
@@ -216,7 +216,7 @@
 def test_a_term_while_the_tier_or_recovery_begins_answers_all_and_ends_both() -> None:
     tier, recovery = Slow(), Slow()
 
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         await tier.began.wait()
         client, _ = await world.opened()
         assert await client.rest() == b"MOVE\r\n"  # nothing of the stop waits for them
@@ -231,13 +231,13 @@
 
 
 def test_new_connections_are_served_until_they_no_longer_come() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         node.stop()
         client = await world.client()
         client.say(b"PING\r\n")
         assert await client.line() == b"ERR\r\n"
         opened, _ = await world.opened()
-        assert node.now() < node.reducer.stop_at + ARRIVE_ON
+        assert node.now() < node.reducer.stop_requested_at + ARRIVE_ON
         assert await opened.rest() == b"MOVE\r\n"
 
     play(scene, World())
@@ -271,7 +271,7 @@
 HUP_AFTER_THE_FILE_IS_READ = """
 import os, signal
 import pointgw.net.run.daemon as daemon
-read, sent = daemon.start, []
+read, sent = daemon.parse_start_up_file, []
 
 def start(data):
     told = read(data)
@@ -280,7 +280,7 @@
         sent.append(os.kill(os.getpid(), signal.SIGHUP))
     return told
 
-daemon.start = start
+daemon.parse_start_up_file = start
 """
 
 
--- a/tests/crossing/test_size.py
+++ b/tests/crossing/test_size.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from crossing.world import HeldLoop, World, play, until
-from pointgw.net.run.node import Node
+from pointgw.net.run.node import BalancerProcess
 
 MANY = 1024
 LIST_WITHIN = 2.0  # seconds from discovery's answer until it is applied; a quarter of it on an idle core
@@ -33,9 +33,9 @@
 
 
 def test_a_thousand_servers_and_balancers_all_the_way_to_a_tunnel() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         assert isinstance(world, Large)
-        assert len(node.reducer.balancer.live) == MANY == len(node.start.peers)
+        assert len(node.reducer.balancer.active_servers) == MANY == len(node.start.peers)
         await world.opened()
         before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
         began = time.monotonic()
@@ -46,7 +46,7 @@
         assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < MEMORY
         world.watch = await world.discovery.call(world.watch.conn)
         world.watch.answer(3, *world.lines(status="draining")[: MANY - 2])
-        await until(lambda: len(node.reducer.balancer.live) == 2)
+        await until(lambda: len(node.reducer.balancer.active_servers) == 2)
         await world.opened("later")
 
     play(scene, Large())
--- a/tests/crossing/test_start.py
+++ b/tests/crossing/test_start.py
@@ -13,7 +13,7 @@
 
 from crossing.daemon import PORT, Daemon, beside_daemon
 from crossing.world import Discovery, World
-from pointgw.net.wire.start import start
+from pointgw.net.wire.start import parse_start_up_file
 from pointgw.site import Malformed
 
 
@@ -56,6 +56,6 @@
     world.discovery.port = 1
     told = world.told().decode()[:-1] + f', "limits": {{"sockets": {sockets}}}}}'
     try:
-        assert start(told.encode()).descriptors >= 0
+        assert parse_start_up_file(told.encode()).descriptors >= 0
     except Malformed as fault:
         assert str(fault).startswith("expected the start-up JSON")
--- a/tests/crossing/test_watch.py
+++ b/tests/crossing/test_watch.py
@@ -10,10 +10,10 @@
 import pytest
 
 from crossing.world import Call, HeldLoop, World, opening, play, turns, until
-from pointgw.net.memory.events import Reloaded
+from pointgw.net.memory.events import SettingsReloaded
 from pointgw.net.memory.reducer import NEXT_CALL, TOLD_AFTER_WAIT, TOLD_WITHIN
 from pointgw.net.run.link import Link
-from pointgw.net.run.node import Node
+from pointgw.net.run.node import BalancerProcess
 from pointgw.net.wire.listing import LONGEST_HEAD
 
 CONNECTION = Link
@@ -26,7 +26,7 @@
     return await world.discovery.call(call.conn)
 
 
-async def goes_to_the_other(node: Node, world: World, name: str = "later") -> None:
+async def goes_to_the_other(node: BalancerProcess, world: World, name: str = "later") -> None:
     client = await world.client()
     client.say(opening(name))
     at, server = await world.setup()
@@ -36,7 +36,7 @@
 
 
 def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_missed_counts_as_told() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         # The first watch was answered; from this one on nothing comes.
         world.watch.answer(2)
         await world.discovery.call(world.watch.conn)
@@ -53,7 +53,7 @@
 
 
 def test_a_second_silence_in_a_row_is_not_answered_with_a_storm_of_calls() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         calls = 0
         world.watch.answer(2)
         await world.discovery.call(world.watch.conn)
@@ -72,7 +72,7 @@
 
 def test_what_a_pushed_list_tells_holds_for_the_first_client() -> None:
     # Guards rule 3: the agent's news counts as told from the first moment of a process.
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         call = await world.discovery.call()
         assert node.connections.listener is None  # nobody is let in before
         call.answer(2, world.line(0, status="draining"))
@@ -97,7 +97,7 @@
 
 
 def test_an_agent_that_says_nothing_does_not_keep_a_balancer_from_serving() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         await world.discovery.call()
         await until(lambda: node.connections.listener is not None)
         client = await world.client()
@@ -108,7 +108,7 @@
 
 
 def test_a_stop_does_not_wait_for_an_agent_that_says_nothing() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         await world.discovery.call()
         node.stop()
         await until(lambda: node.connections.listener is not None, 1.0)  # on with its start
@@ -133,13 +133,13 @@
     ],
 )
 def test_a_call_that_fails_fails_once_and_the_list_stays(answer: bytes) -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         failed = 0
         feed = node.feed
 
         def count(event: object) -> None:
             nonlocal failed
-            failed += type(event).__name__ == "ListFailed"
+            failed += type(event).__name__ == "ListRequestFailed"
             feed(event)  # type: ignore[arg-type]
 
         node.feed = count  # type: ignore[method-assign]
@@ -161,7 +161,7 @@
 
 def test_an_answer_that_waited_its_turn_at_discovery_counts() -> None:
     # Guards discovery against calls that are given up and join the end of its queue again and again.
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         call = await world.discovery.call()
         await asyncio.sleep(2.0)  # discovery's own limit is 1 to 3 s, and it says so where it is over
         call.answer(2, world.line(0, status="draining"))
@@ -173,7 +173,7 @@
 
 
 def test_a_list_may_come_in_pieces_and_indented() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         told = {"index": 2, "snapshot": False, "endpoints": [world.line(0, status="draining")]}
         body = json.dumps(told, indent=4).encode()
         data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
@@ -189,11 +189,11 @@
 def test_an_answer_of_the_discovery_that_was_left_does_not_count() -> None:
     """SIGHUP, and the old watch's answer in the same turn, in both orders of arrival at the loop."""
 
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         other = type(world.discovery)()
         await other.start()
         world.watch.answer(9, world.line(1, status="draining"))  # in the socket, not read yet
-        node.feed(Reloaded(("127.0.0.1", other.port), node.start.names))
+        node.feed(SettingsReloaded(("127.0.0.1", other.port), node.start.names))
         call = await other.call()
         assert b"from=" not in call.head
         call.answer(3, world.line(0, status="draining"), world.line(1), whole=True)
@@ -206,7 +206,7 @@
 
 
 def test_a_dial_that_was_given_up_and_came_up_acts_on_nothing() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         other = type(world.discovery)()
         await other.start()
         loop.after = asyncio.Event()
@@ -214,7 +214,7 @@
         world.watch.conn.reset()
         await until(loop.up.is_set, 8)  # the new call's connection is up, and its dial has not come back
         old = node.discovery
-        node.feed(Reloaded(("127.0.0.1", other.port), node.start.names))
+        node.feed(SettingsReloaded(("127.0.0.1", other.port), node.start.names))
         loop.after.set()
         call = await other.call()
         assert node.discovery is not old and old.link is None
@@ -227,7 +227,7 @@
 
 
 def test_a_call_whose_dial_is_held_past_its_time_is_followed_by_one_on_another_connection() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         side = node.discovery
         loop.before = asyncio.Event()
         loop.dialling.clear()
@@ -260,7 +260,7 @@
         else:
             made(self, transport)
 
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         holds.set()
         world.watch.conn.reset()
         first = await asyncio.wait_for(world.discovery.taken.get(), 8)
@@ -278,7 +278,7 @@
 
 
 def test_a_connection_that_discovery_keeps_is_used_again() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         call = world.watch
         for version in range(2, 6):
             call = await away(world, call, version)
@@ -292,7 +292,7 @@
     """Many calls have failed; discovery is in reach from just after the last one failed, or was sent into
     nothing: the moment from which it takes longest."""
 
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         world.watch.conn.reset()
         if kind == "refused":
             port = world.discovery.port
@@ -322,7 +322,7 @@
 
 
 def test_an_answer_that_the_connections_end_ends_is_told() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         told = {"index": 2, "snapshot": False, "endpoints": [world.line(0, status="draining")]}
         body = json.dumps(told).encode()
         conn = world.watch.conn
@@ -340,7 +340,7 @@
 
 
 def test_an_answer_that_its_connections_end_cuts_off_is_none() -> None:
-    async def scene(node: Node, world: World, loop: HeldLoop) -> None:
+    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         conn = world.watch.conn
         conn.say(b'HTTP/1.1 200 OK\r\n\r\n{"index":2,"snapshot":false,"endpoi')
         conn.end()
--- a/tests/crossing/world.py
+++ b/tests/crossing/world.py
@@ -12,8 +12,8 @@
 
 import uvloop
 
-from pointgw.net.run.node import Node
-from pointgw.net.wire.start import start
+from pointgw.net.run.node import BalancerProcess
+from pointgw.net.wire.start import parse_start_up_file
 
 PROFILE = {"name": "chat", "semantics": "pure", "setupGoal": 200.0, "clientTimeout": 1500.0, "group": "all"}
 NO_LINGER = struct.pack("ii", 1, 0)
@@ -156,7 +156,7 @@
         self.mode = mode
         self.clients: list[Conn] = []
         self.watch: Call
-        self.node: Node
+        self.node: BalancerProcess
         self._listen = 0
 
     @property
@@ -244,7 +244,7 @@
 
 
 def play(
-    scene: Callable[[Node, World, HeldLoop], Awaitable[None]], world: World, first: bool = True,
+    scene: Callable[[BalancerProcess, World, HeldLoop], Awaitable[None]], world: World, first: bool = True,
     seconds: float = 20.0, **beside: Any,
 ) -> None:  # fmt: skip
     """`first`: discovery's first call is answered, so that the list is known to be as it is; its watch stays
@@ -252,9 +252,9 @@
 
     async def main() -> None:
         await world.stand()
-        told = start(world.told())
+        told = parse_start_up_file(world.told())
         loop = HeldLoop(asyncio.get_running_loop())
-        node = Node(told, loop, lambda: told, **beside)  # type: ignore[arg-type]
+        node = BalancerProcess(told, loop, lambda: told, **beside)  # type: ignore[arg-type]
         world.node = node
         serving = asyncio.create_task(node.serve())
         try:
--- a/tests/filling_world.py
+++ b/tests/filling_world.py
@@ -15,9 +15,9 @@
 from random import Random
 
 from helpers import Notes, site
-from pointgw.interface import Listed
+from pointgw.interface import ServerEntry
 from pointgw.policy import COLD_SAFE, Balancer, Server, State, Tunnel
-from pointgw.recovery.loans import Loans
+from pointgw.recovery.loans import Leases
 from virtual_clock import VirtualClock
 
 WARM = 60  # tunnels that a warm server bears
@@ -37,7 +37,7 @@
         world = self.world
         world.sent[ep.name].append(world.now)
         number = len(tun.setups) - 1
-        world.later(ANSWER, partial(world.balancers[self].opened, tun, number))
+        world.later(ANSWER, partial(world.balancers[self].setup_opened, tun, number))
 
     def decline(self, tun: Tunnel, come_back: float) -> None:
         self.world.declined += 1
@@ -67,20 +67,28 @@
         self.start_clock()
         names = [f"s{i}" for i in range(self.servers)]
         self.sent = {name: [] for name in names}
-        self.lines = [Listed(name, "active", 0, 0, 0, START, 1.0) for name in names]
-        self.told = told = site(balancers=self.count, shares=float(WARM * self.servers), asks=True)
+        self.lines = [ServerEntry(name, "active", 0, 0, 0, START, 1.0) for name in names]
+        self.told = told = site(
+            balancer_count=self.count, tunnel_quota=float(WARM * self.servers), list_is_polled=True
+        )
         for n in range(self.count):
             self._begin(Host(self), n, 0)
         self.lending = [
-            Loans(n, self.count, told.tip_span, Random(f"{self.seed}/loans/{n}"), START - told.tip_span)
+            Leases(
+                n,
+                self.count,
+                told.overload_window,
+                Random(f"{self.seed}/loans/{n}"),
+                START - told.overload_window,
+            )
             for n in range(self.count)
         ]
 
     def _begin(self, host: Host, n: int, time: int) -> None:
-        told = replace(self.told, number=n if self.numbered else -1)
+        told = replace(self.told, balancer_index=n if self.numbered else -1)
         rng = Random(f"{self.seed}/{n}" + time * "/again")
         self.balancers[host] = bal = Balancer(told, host, rng, self.now)
-        bal.listed(self.lines, True, False, self.now)
+        bal.update_servers(self.lines, True, False, self.now)
         bal.purse = 1e9  # what probes cost is not the matter here
 
     def restart(self, every: int, time: int) -> None:
@@ -90,9 +98,9 @@
             self._begin(hosts[n], n, time + 1)
 
     def answer(self, bal: Balancer, ep: Server, now: float) -> None:
-        age = (now - START) / bal.cold_time
-        share = min(1.0, bal.cold_share + (1 - bal.cold_share) * age)
-        bal.probed(ep, "ok", {"load": len(self.sent[ep.name]) / (WARM * share)}, now)
+        age = (now - START) / bal.warm_up_window
+        share = min(1.0, bal.slow_start_share + (1 - bal.slow_start_share) * age)
+        bal.probe_ended(ep, "ok", {"load": len(self.sent[ep.name]) / (WARM * share)}, now)
 
     def play(self, seconds: float, all_at: float) -> None:
         """`all_at`: seconds from the start at which five tunnels come at each balancer at once."""
@@ -106,14 +114,14 @@
                 busy = n % (self.count // self.waiting) == 0  # apart, as they would be
                 many = 5 * come + (busy and self.rng.random() < self.rate * STEP)
                 for _ in range(many):
-                    bal.arrived(bal.tunnel("t", 0, 0, "k", "", until + 3.0, False), False, until)
-                bal.tick(until)
+                    bal.tunnel_arrived(bal.new_tunnel("t", 0, 0, "k", "", until + 3.0, False), False, until)
+                bal.timer_due(until)
                 if self.loans:
                     self._lend(n, bal, until)
 
     def _lend(self, n: int, bal: Balancer, now: float) -> None:
-        waits = any(tun.state is State.HELD for tun in bal.held) or now < bal.scarce_until
-        for lender, number in self.lending[n].asks(waits, not waits, now):
+        waits = any(tun.state is State.QUEUED for tun in bal.queue) or now < bal.no_room_until
+        for lender, number in self.lending[n].requests_due(waits, not waits, now):
             self._say(partial(self._asked, n, lender, number))
         self._part(n, bal, now)
 
@@ -122,14 +130,14 @@
             self.later(self.rng.uniform(0.0, self.late), word)
 
     def _asked(self, borrower: int, lender: int, number: int, now: float) -> None:
-        if self.lending[lender].asked(borrower, now):
+        if self.lending[lender].receive_request(borrower, now):
             self._part(lender, list(self.balancers.values())[lender], now)
-            self._say(partial(self.lending[borrower].given, lender, number))
+            self._say(partial(self.lending[borrower].receive_grant, lender, number))
 
     def _part(self, n: int, bal: Balancer, now: float) -> None:
-        part = self.lending[n].part(now)
-        if part != bal.cold_part:
-            bal.lent(part, now)
+        part = self.lending[n].budget_share(now)
+        if part != bal.budget_share:
+            bal.set_budget_share(part, now)
 
     def fullest(self) -> float:
         """The most that a server was sent within a tip span, of what it could take then with two standard
@@ -138,10 +146,10 @@
         worst = 0.0
         for times in self.sent.values():
             for i, at in enumerate(times):
-                begin = at - told.tip_span
-                age = max(0.0, at - told.tip_span / 2 - START) / told.cold_time
-                share = told.cold_share + (1 - told.cold_share) * age
-                limit = told.tip_multiple * WARM / told.cold_time * share * told.tip_span
+                begin = at - told.overload_window
+                age = max(0.0, at - told.overload_window / 2 - START) / told.warm_up_window
+                share = told.slow_start_share + (1 - told.slow_start_share) * age
+                limit = told.overload_factor * WARM / told.warm_up_window * share * told.overload_window
                 worst = max(worst, (i + 1 - bisect_left(times, begin)) / (limit + 2.0 * limit**0.5))
         return worst
 
@@ -150,17 +158,19 @@
         told, worst = self.told, -inf
         for times in self.sent.values():
             for i, at in enumerate(times):
-                age = max(0.0, at - told.tip_span - START)
-                share = told.cold_share + (1 - told.cold_share) * age / told.cold_time
-                may = told.tip_multiple * WARM / told.cold_time * share * told.tip_span
-                worst = max(worst, i + 1 - bisect_left(times, at - told.tip_span) - may - 2 * may**0.5 - 2)
+                age = max(0.0, at - told.overload_window - START)
+                share = told.slow_start_share + (1 - told.slow_start_share) * age / told.warm_up_window
+                may = told.overload_factor * WARM / told.warm_up_window * share * told.overload_window
+                worst = max(
+                    worst, i + 1 - bisect_left(times, at - told.overload_window) - may - 2 * may**0.5 - 2
+                )
         return worst
 
     def earned(self) -> float:
         """What all balancers may send until now, with what is kept back for chance."""
         told, age = self.told, self.now - START
-        share = told.cold_share + (1 - told.cold_share) * age / 2 / told.cold_time
-        return COLD_SAFE * told.tip_multiple * WARM / told.cold_time * share * age * self.servers
+        share = told.slow_start_share + (1 - told.slow_start_share) * age / 2 / told.warm_up_window
+        return COLD_SAFE * told.overload_factor * WARM / told.warm_up_window * share * age * self.servers
 
     def placed(self) -> int:
         return sum(map(len, self.sent.values()))
--- a/tests/fleet/test_cold_untold.py
+++ b/tests/fleet/test_cold_untold.py
@@ -12,7 +12,7 @@
 from pointgw.faultbox.script import Rule
 from pointgw.rig.scenario import Trouble
 from pointgw.state import form
-from pointgw.state.store import Store
+from pointgw.state.store import SnapshotStore
 
 ALL = tuple(range(SERVERS))
 RACK = (0, 1, 2, 3)
@@ -30,12 +30,12 @@
 
 def a_week_older(folder: Path) -> None:
     """A disk that was put back from an old copy: it praises what stood there a week ago."""
-    store = Store(str(folder))
+    store = SnapshotStore(str(folder))
     found = store.load()
-    if found.memory is not None:
-        told = found.memory.facts
+    if found.snapshot is not None:
+        told = found.snapshot.facts
         facts = tuple(msgspec.structs.replace(fact, at=fact.at - WEEK, seen=0.0) for fact in told)
-        old = msgspec.structs.replace(found.memory, written=time.time() - WEEK, facts=facts)
+        old = msgspec.structs.replace(found.snapshot, written=time.time() - WEEK, facts=facts)
         store.save(form.encode(old))
 
 
--- a/tests/gathering_world.py
+++ b/tests/gathering_world.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from helpers import Notes, site
-from pointgw.interface import Listed
+from pointgw.interface import ServerEntry
 from pointgw.policy import Balancer, Server, Tunnel
 from virtual_clock import VirtualClock
 
@@ -41,7 +41,7 @@
         self.world.declined += 1
         self.world.comes(tun.group)
 
-    def move(self, tun: Tunnel) -> None:
+    def migrate(self, tun: Tunnel) -> None:
         self.world.ends(tun)
         self.world.comes(tun.group)
 
@@ -69,20 +69,23 @@
         self.start_clock()
         lines = [self.line(f"s{i}", 0.0) for i in range(self.servers)]
         told = {
-            "asks": True, "cold_share": COLD_FROM, "cold_time": COLD_TIME, "tip_multiple": MULTIPLE,
-            "tip_span": SPAN, "balancers": self.balancers, "fields": (self.tells,),
-            "shares": WARM * self.servers if self.tells == "load" else 0.0,
+            "list_is_polled": True, "slow_start_share": COLD_FROM, "warm_up_window": COLD_TIME,
+            "overload_factor": MULTIPLE, "overload_window": SPAN,
+            "balancer_count": self.balancers, "report_fields": (self.tells,),
+            "tunnel_quota": WARM * self.servers if self.tells == "load" else 0.0,
         }  # fmt: skip
         self.of: dict[Host, Balancer] = {}
         for n in range(self.balancers):
             host = Host(self)
-            self.of[host] = bal = Balancer(site(**told, number=n), host, Random(f"{self.seed}/{n}"), START)
-            bal.listed(lines, True, False, START)
+            self.of[host] = bal = Balancer(
+                site(**told, balancer_index=n), host, Random(f"{self.seed}/{n}"), START
+            )
+            bal.update_servers(lines, True, False, START)
             bal.purse = 1e9  # what probes cost is not the matter here
 
-    def line(self, name: str, started: float) -> Listed:
+    def line(self, name: str, started: float) -> ServerEntry:
         self.holds[name], self.started[name] = Counter(), started
-        return Listed(name, "active", 0, 0, 0, started, 1.0)
+        return ServerEntry(name, "active", 0, 0, 0, started, 1.0)
 
     def comes(self, group: str, wait: float = AGAIN) -> None:
         self.later(wait * self.rng.uniform(0.5, 1.5), partial(self.arrives, group))
@@ -90,15 +93,15 @@
     def arrives(self, group: str, now: float) -> None:
         host = self.rng.choice(list(self.of))
         bal = self.of[host]
-        bal.arrived(bal.tunnel("t", 0, 0, "k", group, now + 3.0, False), False, now)
+        bal.tunnel_arrived(bal.new_tunnel("t", 0, 0, "k", group, now + 3.0, False), False, now)
 
     def open(self, host: Host, tun: Tunnel, ep: Server, number: int, now: float) -> None:
         if ep.name not in self.holds:
-            self.of[host].ended(tun, number, "no-connection", False, {}, now)
+            self.of[host].setup_ended(tun, number, "no-connection", False, {}, now)
             return
         self.at[tun], self.whose[tun] = ep.name, host
         self.holds[ep.name][tun.group] += 1
-        self.of[host].opened(tun, number, now)
+        self.of[host].setup_opened(tun, number, now)
 
     def ends(self, tun: Tunnel) -> None:
         name = self.at.pop(tun)
@@ -114,20 +117,22 @@
     def tell(self, host: Host, ep: Server, now: float) -> None:
         if ep.name in self.holds:
             figures = {"load": self.load(ep.name), "connections": float(self.holds[ep.name].total())}
-            self.of[host].probed(ep, "ok", {self.tells: figures[self.tells]}, now)
+            self.of[host].probe_ended(ep, "ok", {self.tells: figures[self.tells]}, now)
         else:
-            self.of[host].probed(ep, "no-connection", {}, now)
+            self.of[host].probe_ended(ep, "no-connection", {}, now)
 
     def replace(self, count: int, time: int) -> None:
         """So many servers of the first ones drain: their tunnels come again. As many new ones start."""
         for i in range(time * count, (time + 1) * count):
             old, new = f"s{i}", f"n{i}"
-            lines = [Listed(old, "leaving", 0, 0, 0, 0.0, 1.0), self.line(new, self.now)]
+            lines = [ServerEntry(old, "leaving", 0, 0, 0, 0.0, 1.0), self.line(new, self.now)]
             for bal in self.of.values():
-                bal.listed(lines, False, False, self.now)
+                bal.update_servers(lines, False, False, self.now)
             for tun in [tun for tun, name in self.at.items() if name == old]:
                 self.ends(tun)
-                self.of[self.whose[tun]].ended(tun, len(tun.setups) - 1, "cancelled", True, {}, self.now)
+                self.of[self.whose[tun]].setup_ended(
+                    tun, len(tun.setups) - 1, "cancelled", True, {}, self.now
+                )
                 self.comes(tun.group, 2 * AGAIN)
             del self.holds[old]
 
@@ -143,7 +148,7 @@
             until = self.now + STEP
             self.run_until(until)
             for bal in self.of.values():
-                bal.tick(until)
+                bal.timer_due(until)
 
     def pairs(self) -> int:
         """Groups that servers pay for."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from pointgw.interface import Listed, Profile, Site
+from pointgw.interface import Profile, ServerEntry, Site
 from pointgw.policy import Balancer, Server, Tunnel
 
 REPEATABLE = Profile("repeatable", "all", 5.0, 0.5, 3.0, 1.0)
@@ -29,16 +29,16 @@
     def close_with_error(self, tun: Tunnel) -> None:
         self.asked.append(("close_with_error", tun))
 
-    def move(self, tun: Tunnel) -> None:
-        self.asked.append(("move", tun))
+    def migrate(self, tun: Tunnel) -> None:
+        self.asked.append(("migrate", tun))
 
     def probe(self, ep: Server) -> None:
         self.asked.append(("probe", ep))
 
-    def watch(self) -> None:
-        self.asked.append(("watch",))
+    def watch_list(self) -> None:
+        self.asked.append(("watch_list",))
 
-    def timer(self, delay: float) -> None:
+    def set_timer(self, delay: float) -> None:
         pass
 
     def words(self) -> list[str]:
@@ -47,10 +47,11 @@
 
 def site(**changes: Any) -> Site:
     figures: dict[str, Any] = {
-        "balancers": 2, "zone": 0, "profiles": (REPEATABLE,), "asks": False,
-        "ask_every": 10.0, "fields": ("load",), "max_setups": 4, "may_probe": True,
-        "may_cancel": True, "come_back": 1.0, "grain": 0.005,
-        "cold_share": 0.2, "cold_time": 20.0, "tip_multiple": 3.0, "tip_span": 2.0, "probe_price": 0.005,
+        "balancer_count": 2, "zone": 0, "profiles": (REPEATABLE,), "list_is_polled": False,
+        "list_poll_interval": 10.0, "report_fields": ("load",), "max_setups": 4, "may_probe": True,
+        "may_cancel": True, "max_retry_after": 1.0, "timer_resolution": 0.005,
+        "slow_start_share": 0.2, "warm_up_window": 20.0, "overload_factor": 3.0, "overload_window": 2.0,
+        "probe_price": 0.005,
     }  # fmt: skip
     return Site(**(figures | changes))
 
@@ -59,22 +60,22 @@
     """A balancer at time 100 with a server for each busy figure; None: unheard."""
     notes = Notes()
     bal = Balancer(site(**changes), notes, Random(1), 100.0)
-    lines = [Listed(f"s{i}", "active", 0, i, i % 2, 0.0, 1.0) for i in range(len(loads))]
-    bal.listed(lines, True, False, 100.0)
+    lines = [ServerEntry(f"s{i}", "active", 0, i, i % 2, 0.0, 1.0) for i in range(len(loads))]
+    bal.update_servers(lines, True, False, 100.0)
     servers = list(bal.servers.values())
     for ep, load in zip(servers, loads, strict=True):
-        ep.busy = load
+        ep.reported_busy = load
         if load is not None:
-            ep.heard_at = ep.asked_at = 100.0
+            ep.reported_at = ep.asked_at = 100.0
     notes.asked.clear()
     return bal, notes, servers
 
 
 def tunnel(bal: Balancer, left: float = 3.0, tenant: int = 0, group: str = "") -> Tunnel:
-    return bal.tunnel("t", 0, tenant, "k", group, 100.0 + left, False)
+    return bal.new_tunnel("t", 0, tenant, "k", group, 100.0 + left, False)
 
 
 def cold(bal: Balancer, ep: Server, started: float, budget: float) -> None:
     """A server that started lately, with what is left at time 100 of the balancer's budget for it."""
-    ep.started, ep.warm_at = started, started + bal.cold_time
-    ep.budget, ep.budget_at = budget, 100.0
+    ep.started_at, ep.warm_at = started, started + bal.warm_up_window
+    ep.slow_start_budget, ep.budget_updated_at = budget, 100.0
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -14,7 +14,7 @@
 import pytest
 
 from pointgw.__main__ import main
-from pointgw.net.run.operated import Operated
+from pointgw.net.run.operated import OperatorFile
 
 WRONG = """
 [log]
@@ -62,18 +62,18 @@
     path.write_text('[log]\nlevel = "warning"\nstate_every = 2.5\n')
     level = logging.getLogger().level
     try:
-        held = Operated.begin(str(path))
+        held = OperatorFile.begin(str(path))
         assert held is not None and held.state_every == 2.5
         path.write_text(WRONG)
-        held.again()
+        held.reload()
         assert held.state_every == 2.5 and logging.getLogger().level == logging.WARNING
         path.write_text("")
-        held.again()
+        held.reload()
         assert held.state_every is None
     finally:
         logging.getLogger().setLevel(level)
     path.write_text(WRONG)
-    assert Operated.begin(str(path)) is None
+    assert OperatorFile.begin(str(path)) is None
 
 
 def test_the_daemon_loads_neither_commands_nor_rig() -> None:
--- a/tests/test_faultbox.py
+++ b/tests/test_faultbox.py
@@ -114,9 +114,9 @@
     ],
 )
 def test_a_faulty_rule_is_named(rule: dict[str, object], path: str) -> None:
-    with pytest.raises(checked.Faulty) as told:
+    with pytest.raises(checked.InvalidFileError) as told:
         checked.convert({"rule": [rule]}, Script, "f")
-    assert [fault.path for fault in told.value.faults] == [path]
+    assert [fault.path for fault in told.value.problems] == [path]
 
 
 # On sockets.
--- a/tests/test_filling.py
+++ b/tests/test_filling.py
@@ -8,7 +8,7 @@
 
 from filling_world import START, STEP, World
 from helpers import Notes, site
-from pointgw.interface import Listed
+from pointgw.interface import ServerEntry
 from pointgw.policy import Balancer, Server
 
 COUNTS = [20, 30, 200, 230]
@@ -43,7 +43,9 @@
     for time in range(RESTARTED):
         for bal in world.balancers.values():
             for _ in range(rng.random() < 0.5):
-                bal.arrived(bal.tunnel("t", 0, 0, "k", "", world.now + 3.0, False), False, world.now)
+                bal.tunnel_arrived(
+                    bal.new_tunnel("t", 0, 0, "k", "", world.now + 3.0, False), False, world.now
+                )
         world.play(0.4, 1e9)
         world.restart(count // RESTARTED, time)
     assert world.over() <= 0.0
@@ -53,17 +55,19 @@
 @pytest.mark.parametrize("count", [*COUNTS, LARGE])
 def test_what_falls_due_at_a_cold_server_lies_evenly_over_the_balancers(count: int) -> None:
     # The same whenever each of them started, so no chance is in how many hold a tunnel's worth at one moment.
-    lines = [Listed("s0", "active", 0, 0, 0, START, 1.0), Listed("s1", "active", 0, 0, 0, 0.0, 1.0)]
+    lines = [ServerEntry("s0", "active", 0, 0, 0, START, 1.0), ServerEntry("s1", "active", 0, 0, 0, 0.0, 1.0)]
     due: list[float] = []
     for n in range(count):
         began = START + (n * 7 % 10) * STEP  # when it was started, or heard of the server
-        bal = Balancer(site(balancers=count, shares=120.0, number=n), Notes(), Random(n), began)
-        bal.listed(lines, True, False, began)
+        bal = Balancer(
+            site(balancer_count=count, tunnel_quota=120.0, balancer_index=n), Notes(), Random(n), began
+        )
+        bal.update_servers(lines, True, False, began)
         bal._learn(0.1)
         ep: Server = bal.servers["s0"]
         bal._within_budget(ep, START + 0.5)
-        at, rate = START + 0.5, bal.cold_gain * bal._share(ep, START + 1.5)
-        due.append(at + (1.0 - ep.budget) / rate)  # about: its share grows a little meanwhile
+        at, rate = START + 0.5, bal.slow_start_rate * bal._share(ep, START + 1.5)
+        due.append(at + (1.0 - ep.slow_start_budget) / rate)  # about: its share grows a little meanwhile
     due.sort()
     span = 2.0
     even = 0.8 * 3.0 * 60 / 20 * bal._share(ep, START + 1.5) * span
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pointgw.interface import Listed, Profile
+from pointgw.interface import Profile, ServerEntry
 from pointgw.net.memory.guard import DeliveryGuard, Violation
 
 SAFE = Profile("repeatable", "all", 0.0, 0.3, 2.0, 1.0)
@@ -14,8 +14,8 @@
 ONCE = Profile("once-only", "cell", 0.0, 0.3, 2.0, 1.0)
 
 
-def line(name: str, state: Any = "active", zone: int = 0, cell: int = 0) -> Listed:
-    return Listed(name, state, 0, cell, zone, 0.0, 1.0)
+def line(name: str, state: Any = "active", zone: int = 0, cell: int = 0) -> ServerEntry:
+    return ServerEntry(name, state, 0, cell, zone, 0.0, 1.0)
 
 
 def guard(profile: Profile, **settings: Any) -> DeliveryGuard:
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -2,46 +2,61 @@
 
 import pytest
 
-from pointgw.net.run.life import NEXT, Known, Life, Stage
+from pointgw.net.run.life import NEXT, ConnectionLifecycle, ConnectionState, DeliveryState
 
 
-def walk(*stages: Stage) -> Life:
-    life = Life(stages[0])
+def walk(*stages: ConnectionState) -> ConnectionLifecycle:
+    life = ConnectionLifecycle(stages[0])
     for stage in stages[1:]:
-        life.to(stage)
+        life.transition_to(stage)
     return life
 
 
 @pytest.mark.parametrize(
     ("stages", "known", "late", "broken"),
     [
-        ((Stage.DIALLING,), Known.NOT_SENT, "no-connection", "no-connection"),
-        ((Stage.DIALLING, Stage.WRITTEN), Known.MAY_HAVE_RUN, "timeout", "reset"),
-        ((Stage.DIALLING, Stage.WRITTEN, Stage.ANSWERED), Known.RAN, "timeout", "reset"),
-        ((Stage.DIALLING, Stage.WRITTEN, Stage.ANSWERED, Stage.JOINED), Known.RAN, "timeout", "reset"),
+        ((ConnectionState.DIALLING,), DeliveryState.NOT_SENT, "no-connection", "no-connection"),
+        ((ConnectionState.DIALLING, ConnectionState.WRITTEN), DeliveryState.MAY_HAVE_RUN, "timeout", "reset"),
+        (
+            (ConnectionState.DIALLING, ConnectionState.WRITTEN, ConnectionState.ANSWERED),
+            DeliveryState.RAN,
+            "timeout",
+            "reset",
+        ),
+        (
+            (
+                ConnectionState.DIALLING,
+                ConnectionState.WRITTEN,
+                ConnectionState.ANSWERED,
+                ConnectionState.JOINED,
+            ),
+            DeliveryState.RAN,
+            "timeout",
+            "reset",
+        ),
     ],
 )
 def test_how_a_setup_ends_follows_from_what_was_written(
-    stages: tuple[Stage, ...], known: Known, late: str, broken: str
+    stages: tuple[ConnectionState, ...], known: DeliveryState, late: str, broken: str
 ) -> None:
     life = walk(*stages)
-    assert (life.known, life.late(), life.broken()) == (known, late, broken)
-    life.to(Stage.ENDED)  # and stays known afterwards
-    assert life.over and life.known is known
+    assert (life.delivery, life.timeout_ending(), life.disconnect_ending()) == (known, late, broken)
+    life.transition_to(ConnectionState.ENDED)  # and stays known afterwards
+    assert life.over and life.delivery is known
 
 
 def test_nothing_follows_an_end_and_no_step_is_left_out() -> None:
-    assert NEXT[Stage.ENDED] == () and NEXT[Stage.HALF_CLOSED] == (Stage.ENDED,)
-    assert set(NEXT) == set(Stage)
+    assert NEXT[ConnectionState.ENDED] == () and NEXT[ConnectionState.HALF_CLOSED] == (ConnectionState.ENDED,)
+    assert set(NEXT) == set(ConnectionState)
     for stage, stages in NEXT.items():
-        for other in Stage:
+        for other in ConnectionState:
             if other not in stages:
                 with pytest.raises(ValueError, match="cannot become"):
-                    Life(stage).to(other)
+                    ConnectionLifecycle(stage).transition_to(other)
 
 
 def test_only_the_write_makes_a_request_one_that_may_have_run() -> None:
-    before = [stage for stage, stages in NEXT.items() if Stage.WRITTEN in stages]
-    assert before == [Stage.DIALLING]
-    for stage in Stage:
-        assert Life(stage).known is Known.NOT_SENT
+    before = [stage for stage, stages in NEXT.items() if ConnectionState.WRITTEN in stages]
+    assert before == [ConnectionState.DIALLING]
+    for stage in ConnectionState:
+        assert ConnectionLifecycle(stage).delivery is DeliveryState.NOT_SENT
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,7 +8,7 @@
 import pytest
 
 from helpers import REPEATABLE, Notes, balancer, cold, site, tunnel
-from pointgw.interface import Listed, Profile
+from pointgw.interface import Profile, ServerEntry
 from pointgw.policy import (
     AWAY,
     COLD_SAFE,
@@ -33,7 +33,7 @@
     bal, notes, (first, second) = balancer([busy, busy])
     bal.c = c
     tun = tunnel(bal)
-    tun.drawn = [first, second]
+    tun.candidates = [first, second]
     bal._offer(tun, 100.0)
     assert notes.asked[0][2] is (first, second)[takes]
 
@@ -63,7 +63,7 @@
 def test_a_window_closed_by_time_needs_ten_offers(offers: int, moves: bool) -> None:
     bal, _, _ = balancer([0.5, 0.5])
     bal.c, bal.top, bal.offers = 0.5, 1.0, offers
-    bal.tick(110.0)
+    bal.timer_due(110.0)
     assert (bal.c > 0.5) is moves
     assert bal.offers == 0
 
@@ -73,8 +73,8 @@
 )
 def test_candidates_hold_the_group_or_are_near(group: str, drawn: set[int]) -> None:
     bal, _, servers = balancer([0.1] * 4)
-    servers[1].groups = {"held": 1}
-    servers[3].groups = {"held": 2, "held once": 1}
+    servers[1].tunnels_by_group = {"held": 1}
+    servers[3].tunnels_by_group = {"held": 2, "held once": 1}
     for _ in range(20):
         pair = {servers.index(ep) for ep in bal._draw(tunnel(bal, group=group), servers)}
         assert len(pair) == 2 and drawn <= pair
@@ -86,7 +86,7 @@
 def test_a_group_has_the_same_home_at_all_balancers(balancers: int, mean: float, gathers: bool) -> None:
     # A group scattered over a large fleet is paid for at every server, and none sees the others' tunnels.
     drawn = set()
-    bal, _, servers = balancer([0.1] * 20, balancers=balancers)
+    bal, _, servers = balancer([0.1] * 20, balancer_count=balancers)
     bal.mean_load = mean
     for _ in range(20):
         bal.zone = 0
@@ -105,13 +105,13 @@
     # No server may be left without balancers, and none may have far more than its part of them.
     users = dict.fromkeys((f"s{i}" for i in range(servers)), 0)
     for seed in range(balancers):
-        bal, _, eps = balancer([0.1] * servers, balancers=balancers, probe_price=price)
+        bal, _, eps = balancer([0.1] * servers, balancer_count=balancers, probe_price=price)
         bal.start = Random(seed).random()
         bal._take_part(1000.0)
-        for ep in bal.part or bal.live:
+        for ep in bal.server_subset or bal.active_servers:
             users[ep.name] += 1
-        bal.listed([Listed("t", "active", 0, 0, 0, 0.0, 1.0)], False, False, 101.0)
-        bal.listed([Listed(eps[0].name, "left", 0, 0, 0, 0.0, 1.0)], False, False, 101.0)
+        bal.update_servers([ServerEntry("t", "active", 0, 0, 0, 0.0, 1.0)], False, False, 101.0)
+        bal.update_servers([ServerEntry(eps[0].name, "left", 0, 0, 0, 0.0, 1.0)], False, False, 101.0)
         assert eps[0] not in bal._candidates(tunnel(bal), 101.0)
     assert min(users.values()) > 0.5 * balancers / parts and max(users.values()) < 1.6 * balancers / parts
 
@@ -120,17 +120,17 @@
 def test_a_part_is_kept_while_only_weights_change(state: Any, kept: bool) -> None:
     # Weights may come every second: ordering the list and leaving the part each time would be for nothing.
     bal, _, servers = balancer([0.1] * 4)
-    bal.part = servers[:2]
-    bal.listed([Listed(servers[0].name, state, 0, 0, 0, 0.0, 0.5)], False, False, 100.0)
-    assert (bal.part is not None) is kept and (servers[0] in bal.live) is kept
+    bal.server_subset = servers[:2]
+    bal.update_servers([ServerEntry(servers[0].name, state, 0, 0, 0, 0.0, 0.5)], False, False, 100.0)
+    assert (bal.server_subset is not None) is kept and (servers[0] in bal.active_servers) is kept
 
 
 def test_a_part_with_no_ready_server_lets_the_others_serve() -> None:
     bal, _, servers = balancer([0.1] * 4)
-    bal.part = servers[:2]
+    bal.server_subset = servers[:2]
     for ep in servers[:2]:
         bal._struck(ep, "error", 100.0)
-    assert bal._candidates(tunnel(bal), 100.1) == [ep for ep in bal.live if ep in servers[2:]]
+    assert bal._candidates(tunnel(bal), 100.1) == [ep for ep in bal.active_servers if ep in servers[2:]]
 
 
 def test_own_placements_count_in_the_unit_of_the_figure_until_the_next_report() -> None:
@@ -140,9 +140,9 @@
     assert bal._busy(ep, 0.0) == pytest.approx(0.23)
     bal._learn(0.1)
     assert bal._busy(other, bal.mean_busy) == pytest.approx(0.23)
-    bal.probed(ep, "ok", {"load": 0.25}, 100.9)  # too early to show it
+    bal.probe_ended(ep, "ok", {"load": 0.25}, 100.9)  # too early to show it
     assert bal._busy(ep, 0.0) == pytest.approx(0.28)
-    bal.probed(ep, "ok", {"load": 0.25}, 101.0)
+    bal.probe_ended(ep, "ok", {"load": 0.25}, 101.0)
     assert bal._busy(ep, 0.0) == pytest.approx(0.25)
 
 
@@ -151,16 +151,16 @@
     # With few tunnels a balancer, probes by the clock can't keep the reports of a large fleet fresh.
     bal, notes, servers = balancer([0.5, 0.5])
     bal.c, tun = 0.2, tunnel(bal)
-    tun.drawn = servers
+    tun.candidates = servers
     for ep, age in zip(servers, ages, strict=True):
-        ep.heard_at = ep.asked_at = 100.0 - age
+        ep.reported_at = ep.asked_at = 100.0 - age
     bal._offer(tun, 100.0)
     assert notes.words() == (["setup"] if asked is None else ["probe"])
     if asked is not None:
         assert notes.asked[0][1] is servers[asked]
         for ep in servers:
-            bal.probed(ep, "ok", {"load": 0.5}, 100.1)
-        assert tun.setups[0].ep is servers[1]
+            bal.probe_ended(ep, "ok", {"load": 0.5}, 100.1)
+        assert tun.setups[0].server is servers[1]
 
 
 @pytest.mark.parametrize(("budget", "asked"), [(1.0, "setup"), (0.0, "decline")])
@@ -168,8 +168,8 @@
     bal, notes, (ep, _) = balancer([0.1, 0.1])
     cold(bal, ep, 99.0, budget)
     tun = tunnel(bal, left=0.2)
-    tun.drawn = [ep]
-    tun.to(State.ASKING)
+    tun.candidates = [ep]
+    tun.transition_to(State.PROBING)
     bal._hold(tun, 100.0)
     bal._serve_held(100.1)
     assert notes.words() == [asked]
@@ -181,7 +181,7 @@
     # candidate for its load, and was looked at again only after that.
     bal, notes, (ep, _) = balancer([0.1, 0.1])
     tun = tunnel(bal, left=left + bal.margin)
-    tun.drawn, ep.asked_at = [ep], 0.0
+    tun.candidates, ep.asked_at = [ep], 0.0
     bal._offer(tun, 100.0)
     assert notes.words() == [asked]
 
@@ -189,8 +189,8 @@
 @pytest.mark.parametrize(("balancers", "probes"), [(2, 20), (200, 0)])
 def test_many_balancers_do_not_all_probe_the_whole_fleet(balancers: int, probes: int) -> None:
     # With 200 balancers at 50 servers probes cost 0.6 of all credit.
-    bal, notes, _ = balancer([None] * 20, balancers=balancers)
-    bal.tick(100.2)
+    bal, notes, _ = balancer([None] * 20, balancer_count=balancers)
+    bal.timer_due(100.2)
     assert notes.words() == ["probe"] * probes
 
 
@@ -198,19 +198,19 @@
 def test_none_and_one_ready_server(loads: list[float | None], asked: list[str]) -> None:
     bal, notes, _ = balancer(loads)
     tun = tunnel(bal)
-    bal.arrived(tun, False, 100.0)
+    bal.tunnel_arrived(tun, False, 100.0)
     assert notes.words() == asked
-    assert tun.state is (State.SETTING_UP if asked else State.HELD)
+    assert tun.state is (State.SETTING_UP if asked else State.QUEUED)
 
 
 def test_given_up_is_answered_with_a_time_to_come_back() -> None:
     bal, notes, servers = balancer([1.0, 1.0])
     for ep in servers:
-        ep.full_load = ep.reckoned = 1.0
+        ep.reported_load = ep.reckoned = 1.0
     tun = tunnel(bal)
-    bal.arrived(tun, False, 100.0)
-    assert tun.state is State.HELD
-    bal.tick(101.5)
+    bal.tunnel_arrived(tun, False, 100.0)
+    assert tun.state is State.QUEUED
+    bal.timer_due(101.5)
     assert notes.words() == ["probe", "probe", "decline"]
     assert notes.asked[-1][2] == 1.0
 
@@ -219,11 +219,11 @@
 def test_the_excess_of_an_overdriven_server_is_moved_off_once(load: float, moved: int) -> None:
     bal, notes, (ep, _) = balancer([0.5, 0.5])
     for _ in range(20):
-        bal.inherited(tunnel(bal), ep, 100.0)
+        bal.tunnel_inherited(tunnel(bal), ep, 100.0)
     bal.chance = lambda: 1.0
-    bal.probed(ep, "ok", {"load": load}, 110.0)
-    bal.probed(ep, "ok", {"load": load}, 110.1)  # it may not show the move yet
-    assert notes.words() == ["move"] * moved and len(ep.tunnels) == 20 - moved
+    bal.probe_ended(ep, "ok", {"load": load}, 110.0)
+    bal.probe_ended(ep, "ok", {"load": load}, 110.1)  # it may not show the move yet
+    assert notes.words() == ["migrate"] * moved and len(ep.tunnels) == 20 - moved
 
 
 @pytest.mark.parametrize(
@@ -233,7 +233,7 @@
     # Where most servers lie over the limit, moving down to it sends clients round and round.
     bal, _, servers = balancer(loads)
     for ep, load in zip(servers, loads, strict=True):
-        ep.full_load = load or 0.0
+        ep.reported_load = load or 0.0
     bal._learn(0.1)
     assert bal.level == pytest.approx(level)
 
@@ -245,15 +245,15 @@
     bal.level = LEVEL if crowded else FULL
     for i in range(12):
         tun = tunnel(bal, group=f"g{i % 4}")
-        bal.inherited(tun, ep, 100.0)
+        bal.tunnel_inherited(tun, ep, 100.0)
         tun.load = 10.0 if i < 2 else 0.1
     away = list(dict.fromkeys(t.group for t in sorted(ep.tunnels, key=lambda t: Balancer._far(t, ep))))
-    bal.probed(ep, "ok", {"load": 2 * FULL}, 110.0)
+    bal.probe_ended(ep, "ok", {"load": 2 * FULL}, 110.0)
     left = {t.group for t in ep.tunnels}
     if crowded:  # nowhere else is room for a group
-        assert len(left) == 4 and notes.words().count("move") < 3
+        assert len(left) == 4 and notes.words().count("migrate") < 3
         return
-    assert "move" in notes.words() and 0 < len(left) < 4
+    assert "migrate" in notes.words() and 0 < len(left) < 4
     assert left == set(away[: len(left)])  # the same ones leave it at all balancers
     assert all(sum(t.group == group for t in ep.tunnels) == 3 for group in left)
 
@@ -263,7 +263,7 @@
     # Guards against tunnels that are declined though no server is near its top.
     bal, _, servers = balancer([0.2, 0.2])
     for ep in servers:
-        ep.full_load, ep.probe_due = 0.2, inf
+        ep.reported_load, ep.probe_due = 0.2, inf
         ep.reckoned = 0.9
     if waits:
         bal._hold(tunnel(bal), 100.0)
@@ -273,9 +273,9 @@
 
 def test_a_full_server_is_asked_again_while_a_tunnel_waits() -> None:
     # Guards against servers that have long had room again and are not asked before their turn by the clock.
-    bal, notes, servers = balancer([0.9, 0.2, 0.9], balancers=3)
+    bal, notes, servers = balancer([0.9, 0.2, 0.9], balancer_count=3)
     for ep in servers:
-        ep.probe_due, ep.reckoned = inf, ep.busy or 0.0
+        ep.probe_due, ep.reckoned = inf, ep.reported_busy or 0.0
     bal.purse = 1.0
     bal._probe(110.0)
     assert notes.words() == []
@@ -287,30 +287,30 @@
 
 def test_what_a_tunnel_adds_starts_from_the_shares_and_rises_slowly() -> None:
     # Guards one that has just started: the others hold many tunnels where it holds few.
-    bal, _, servers = balancer([0.5, 0.5], shares=100.0)
-    assert bal.load_unit == pytest.approx(2 / 100)
+    bal, _, servers = balancer([0.5, 0.5], tunnel_quota=100.0)
+    assert bal.load_per_tunnel == pytest.approx(2 / 100)
     for ep in servers:
-        ep.full_load = 0.5
+        ep.reported_load = 0.5
         for _ in range(2):
-            bal.inherited(tunnel(bal), ep, 100.0)
+            bal.tunnel_inherited(tunnel(bal), ep, 100.0)
     bal._learn(0.3)  # 1.0 over four tunnels here and as many at the other balancer
-    assert bal.load_unit == pytest.approx(0.02 + (0.125 - 0.02) * 0.3 / LONG)
+    assert bal.load_per_tunnel == pytest.approx(0.02 + (0.125 - 0.02) * 0.3 / LONG)
 
 
 def test_what_has_ended_or_moved_off_makes_no_room_before_a_report_shows_it() -> None:
     # One tunnel gone is not the mean tunnel's load gone: its group stays, and others were let in for it.
     bal, _, (ep, _) = balancer([0.9, 0.5])
-    ep.full_load = ep.reckoned = 0.9
+    ep.reported_load = ep.reckoned = 0.9
     tun = tunnel(bal)
-    bal.inherited(tun, ep, 99.0)
-    bal.ended(tun, 0, "ok", True, {}, 100.0)
+    bal.tunnel_inherited(tun, ep, 99.0)
+    bal.setup_ended(tun, 0, "ok", True, {}, 100.0)
     assert not bal._ready(tunnel(bal), [ep], 100.0)
 
 
 @pytest.mark.parametrize(("heard", "room"), [(None, True), (0.3, True), (0.9, False)])
 def test_an_unheard_server_has_room_as_the_others_have(heard: float | None, room: bool) -> None:
-    bal, _, (ep, other) = balancer([None, heard], balancers=17)
-    other.full_load = heard or 0.0
+    bal, _, (ep, other) = balancer([None, heard], balancer_count=17)
+    other.reported_load = heard or 0.0
     bal.purse = 0.0  # else it would be asked
     bal._learn(0.1)
     bal._send(tunnel(bal), other, 100.0)
@@ -318,8 +318,8 @@
 
 
 def test_a_server_that_all_balancers_fill_between_two_reports_is_not_ready() -> None:
-    bal, _, (ep, _) = balancer([0.5, 0.5], balancers=4)
-    ep.full_load, bal.load_unit = FULL - 0.35, 0.06
+    bal, _, (ep, _) = balancer([0.5, 0.5], balancer_count=4)
+    ep.reported_load, bal.load_per_tunnel = FULL - 0.35, 0.06
     bal._send(tunnel(bal), ep, 100.0)
     assert bal._ready(tunnel(bal), [ep], 100.0)
     bal._send(tunnel(bal), ep, 100.0)
@@ -329,8 +329,8 @@
 def test_a_held_tunnel_is_answered_before_the_client_timeout() -> None:
     bal, notes, _ = balancer([])
     tun = tunnel(bal, left=0.2)
-    bal.arrived(tun, False, 100.0)
-    bal.tick(100.125)
+    bal.tunnel_arrived(tun, False, 100.0)
+    bal.timer_due(100.125)
     assert notes.words() == ["decline"]
 
 
@@ -361,7 +361,7 @@
     tun = tunnel(bal)
     bal._send(tun, servers[0], 99.0)
     notes.asked.clear()
-    bal.ended(tun, 0, ending, False, {}, 100.0)
+    bal.setup_ended(tun, 0, ending, False, {}, 100.0)
     assert notes.words() == [asked]
     if profile is ZONE:
         assert notes.asked[0][2].zone == servers[0].zone
@@ -381,13 +381,13 @@
 @pytest.mark.parametrize("state", ["leaving", "left"])
 def test_nothing_new_to_a_server_told_to_drain(state: Any) -> None:
     bal, _, (ep, _) = balancer([0.1, 0.1])
-    bal.listed([Listed(ep.name, state, 0, 0, 0, 0.0, 1.0)], False, False, 100.0)
+    bal.update_servers([ServerEntry(ep.name, state, 0, 0, 0, 0.0, 1.0)], False, False, 100.0)
     assert ep not in bal._candidates(tunnel(bal), 100.0)
 
 
 def test_a_server_missing_from_a_whole_list_is_gone() -> None:
     bal, _, (ep, other) = balancer([0.1, 0.1])
-    bal.listed([Listed(other.name, "active", 0, 0, 0, 0.0, 1.0)], True, False, 100.0)
+    bal.update_servers([ServerEntry(other.name, "active", 0, 0, 0, 0.0, 1.0)], True, False, 100.0)
     assert bal._candidates(tunnel(bal), 100.0) == [other] and not ep.active
 
 
@@ -398,28 +398,28 @@
 def test_where_draining_binds_alone_a_server_that_is_gone_stays_in_doubt(
     alone: bool, first: Any, stays: bool, whole: bool
 ) -> None:
-    bal, _, (ep, other) = balancer([0.1, 0.1], drain_binds_alone=alone)
-    bal.listed([Listed(ep.name, first, 0, 0, 0, 0.0, 1.0)], False, False, 100.0)
+    bal, _, (ep, other) = balancer([0.1, 0.1], only_draining_excludes=alone)
+    bal.update_servers([ServerEntry(ep.name, first, 0, 0, 0, 0.0, 1.0)], False, False, 100.0)
     name, state = (other.name, "active") if whole else (ep.name, "left")
-    bal.listed([Listed(name, state, 0, 0, 0, 0.0, 1.0)], whole, False, 101.0)  # type: ignore[arg-type]
-    assert (ep in bal.live) is stays and ep.doubted is stays
+    bal.update_servers([ServerEntry(name, state, 0, 0, 0, 0.0, 1.0)], whole, False, 101.0)  # type: ignore[arg-type]
+    assert (ep in bal.active_servers) is stays and ep.stale is stays
     assert bal._candidates(tunnel(bal), 101.0) == [other]
     bal._struck(other, "error", 101.0)
-    other.trying = 1
+    other.pending_setups = 1
     assert bal._candidates(tunnel(bal), 101.0) == [ep] * stays
-    bal.probed(ep, "ok", {"load": 0.1}, 102.0)
+    bal.probe_ended(ep, "ok", {"load": 0.1}, 102.0)
     assert (ep in bal._candidates(tunnel(bal), 102.0)) is stays
 
 
 def test_the_watch_is_asked_again_after_a_failure_later_each_time() -> None:
-    bal, notes, _ = balancer([0.1], asks=True, may_probe=False)
+    bal, notes, _ = balancer([0.1], list_is_polled=True, may_probe=False)
     waits = []
     for _ in range(6):
-        bal.list_failed(100.0)
+        bal.list_request_failed(100.0)
         waits.append(bal.ask_due - 100.0)
-    assert waits[-1] > waits[0] > 0 and waits[-1] <= 1.5 * bal.ask_every
-    bal.tick(bal.ask_due)
-    assert notes.words() == ["watch"]
+    assert waits[-1] > waits[0] > 0 and waits[-1] <= 1.5 * bal.list_poll_interval
+    bal.timer_due(bal.ask_due)
+    assert notes.words() == ["watch_list"]
 
 
 @pytest.mark.parametrize(("budget", "age", "ready"), [(0.0, 0.1, False), (1.0, 0.1, True), (0.0, 20.0, True)])
@@ -433,14 +433,14 @@
 def test_a_cold_servers_budget_follows_what_lasts_not_what_arrives(load: float) -> None:
     bal, _, servers = balancer([load, load])
     for ep in servers:
-        ep.full_load = load
+        ep.reported_load = load
         for _ in range(3):
-            bal.inherited(tunnel(bal), ep, 99.0)
+            bal.tunnel_inherited(tunnel(bal), ep, 99.0)
     bal._learn(0.1)
-    before = bal.cold_gain
-    bal.came, bal.rate = 500, 500.0  # a storm of clients that come again
+    before = bal.slow_start_rate
+    bal.arrivals, bal.arrival_rate = 500, 500.0  # a storm of clients that come again
     bal._learn(0.1)
-    assert 0.0 < bal.cold_gain <= before
+    assert 0.0 < bal.slow_start_rate <= before
 
 
 @pytest.mark.parametrize(("balancers", "pause"), [(1, 5.0), (18, 5.0), (248, 0.1), (248, 5.0), (248, 15.0)])
@@ -448,16 +448,19 @@
     # Each may have kept a whole tunnel meanwhile, and a mass arrival would send them all at once.
     sent, limit = 0, 0.0
     for seed in range(balancers):
-        bal, _, (ep, _) = balancer([0.1, 0.1], balancers=balancers)
-        bal.cold_gain, bal.load_unit = 2.0 / balancers, 0.0  # all balancers together, were it warm
+        bal, _, (ep, _) = balancer([0.1, 0.1], balancer_count=balancers)
+        bal.slow_start_rate, bal.load_per_tunnel = (
+            2.0 / balancers,
+            0.0,
+        )  # all balancers together, were it warm
         cold(bal, ep, 100.0, Random(seed).random())
         for step in range(21):  # arrivals all the while, after the pause, for one tip span
             now = 100.0 + pause + step / 10
             while bal._ready(tunnel(bal), [ep], now):
                 bal._send(tunnel(bal), ep, now)
                 sent += 1
-        share = bal.cold_share + (1 - bal.cold_share) * (pause + 1.0) / bal.cold_time
-        limit = bal.cold_gain * balancers / COLD_SAFE * share * bal.tip_span
+        share = bal.slow_start_share + (1 - bal.slow_start_share) * (pause + 1.0) / bal.warm_up_window
+        limit = bal.slow_start_rate * balancers / COLD_SAFE * share * bal.overload_window
     assert sent <= limit + 1.5 * limit**0.5
 
 
@@ -466,24 +469,31 @@
     # Each sees little of it, and what many leave unspent is lost: clients were declined beside idle servers.
     fill, sent = 40, []
     for seed in range(balancers):
-        bal, _, (ep, warm) = balancer([0.0, 0.7], balancers=balancers, shares=2.0 * fill, sized=True)
-        line = Listed(ep.name, "active", 0, 0, 0, 100.0, size)
-        bal.listed([line, Listed(warm.name, "active", 0, 0, 0, 0.0, 2.0 - size)], True, False, 100.0)
-        ep.budget = Random(seed).random()
+        bal, _, (ep, warm) = balancer(
+            [0.0, 0.7], balancer_count=balancers, tunnel_quota=2.0 * fill, sizes_listed=True
+        )
+        line = ServerEntry(ep.name, "active", 0, 0, 0, 100.0, size)
+        bal.update_servers(
+            [line, ServerEntry(warm.name, "active", 0, 0, 0, 0.0, 2.0 - size)], True, False, 100.0
+        )
+        ep.slow_start_budget = Random(seed).random()
         bal._learn(0.3)
-        for step in range(int(bal.cold_time * 10)):
+        for step in range(int(bal.warm_up_window * 10)):
             now = 100.0 + step / 10
             if bal._ready(tunnel(bal), [ep], now):
                 bal._send(tunnel(bal), ep, now)
                 ep.recent.clear()
                 bal._reckon(ep)
                 sent.append(now)
-        share = [bal.cold_share + (1 - bal.cold_share) * step / 10 / bal.cold_time for step in range(200)]
+        share = [
+            bal.slow_start_share + (1 - bal.slow_start_share) * step / 10 / bal.warm_up_window
+            for step in range(200)
+        ]
     assert len(sent) >= 1.1 * fill * size
     for step, part in enumerate(share):
         at = 100.0 + step / 10
-        limit = bal.tip_multiple * part * fill * size / bal.cold_time * bal.tip_span
-        assert sum(at <= one < at + bal.tip_span for one in sent) <= 1.2 * limit + 1.5 * limit**0.5
+        limit = bal.overload_factor * part * fill * size / bal.warm_up_window * bal.overload_window
+        assert sum(at <= one < at + bal.overload_window for one in sent) <= 1.2 * limit + 1.5 * limit**0.5
 
 
 def test_a_cold_server_pays_for_each_tunnel() -> None:
@@ -506,10 +516,10 @@
     # The way to it, a stuck report, a noisy neighbour: own messages are evidence that its report is not.
     bal, notes, (ep, other) = balancer([0.1, 0.1])
     for _ in range(20):
-        bal.inherited(tunnel(bal), ep, 99.0)
+        bal.tunnel_inherited(tunnel(bal), ep, 99.0)
     ep.probe_due = other.probe_due = 200.0
-    bal.delay_noted(next(iter(ep.tunnels)), delay, 100.5)
-    moved = notes.words().count("move")
+    bal.record_delay(next(iter(ep.tunnels)), delay, 100.5)
+    moved = notes.words().count("migrate")
     assert (6 < moved < 14) if slow else not moved
     assert (ep in bal._candidates(tunnel(bal), 100.5)) is not slow
     assert (ep.probe_due < 200.0) is slow  # asked once the suspension is nearly over
@@ -519,32 +529,32 @@
 def test_a_server_that_works_its_backlog_off_keeps_the_rest(then: float, again: bool) -> None:
     bal, notes, (ep, _) = balancer([0.1, 0.1])
     for _ in range(20):
-        bal.inherited(tunnel(bal), ep, 99.0)
-    bal.delay_noted(next(iter(ep.tunnels)), 0.5, 100.0)
+        bal.tunnel_inherited(tunnel(bal), ep, 99.0)
+    bal.record_delay(next(iter(ep.tunnels)), 0.5, 100.0)
     moved = len(notes.asked)
-    bal.delay_noted(next(iter(ep.tunnels)), then, 101.1)
+    bal.record_delay(next(iter(ep.tunnels)), then, 101.1)
     assert (len(notes.asked) > moved) is again
 
 
 def test_quick_messages_lift_the_suspension_for_slow_ones_alone() -> None:
     bal, _, (slow, erred) = balancer([0.1, 0.1])
     for ep in [slow, erred] * 20:
-        bal.inherited(tunnel(bal), ep, 99.0)
+        bal.tunnel_inherited(tunnel(bal), ep, 99.0)
     bal._struck(erred, "error", 100.0)
-    bal.delay_noted(next(iter(slow.tunnels)), 0.3, 100.0)
-    assert slow.out_until > 101.0
+    bal.record_delay(next(iter(slow.tunnels)), 0.3, 100.0)
+    assert slow.ejected_until > 101.0
     for ep in (slow, erred):
-        bal.delay_noted(next(iter(ep.tunnels)), 0.04, 101.0)
-    assert erred.out_until > 101.0 >= slow.out_until
+        bal.record_delay(next(iter(ep.tunnels)), 0.04, 101.0)
+    assert erred.ejected_until > 101.0 >= slow.ejected_until
 
 
 def test_a_worse_report_right_after_a_move_off_moves_the_rest_of_the_excess() -> None:
     bal, _, (ep, _) = balancer([0.1, 0.1])
     bal.level = FULL
     for _ in range(100):
-        bal.inherited(tunnel(bal), ep, 99.0)
+        bal.tunnel_inherited(tunnel(bal), ep, 99.0)
     for load, left in ((1.3, 50), (1.3, 50), (2.6, 25)):
-        bal.probed(ep, "ok", {"load": load}, 100.0)
+        bal.probe_ended(ep, "ok", {"load": load}, 100.0)
         assert len(ep.tunnels) == pytest.approx(left, abs=3)
 
 
@@ -563,8 +573,8 @@
     bal._struck(ep, "error", 99.0)
     tun = tunnel(bal)
     bal._send(tun, ep, 101.0)
-    bal.ended(tun, 0, ending, False, {}, 101.01)
-    assert notes.words() == ["setup"] and tun.state is State.HELD
+    bal.setup_ended(tun, 0, ending, False, {}, 101.01)
+    assert notes.words() == ["setup"] and tun.state is State.QUEUED
     assert bal._candidates(tunnel(bal), 101.4) == []
     assert bal._candidates(tunnel(bal), 102.6) == [ep]
 
@@ -587,11 +597,11 @@
     bal, _, (ep, _) = balancer([0.5, 0.5])
     bal.mean_busy, now = 0.5, 100.0 + after
     if stands:
-        bal.inherited(tunnel(bal), ep, 99.0)
-    bal.probed(ep, "no-connection", {}, 100.0)
-    bal.probed(ep, "ok", {"load": load}, now)
-    age = load * bal.cold_time / (COLD_SAFE * LARGEST * bal.tip_multiple)
-    assert ep.warm_at == pytest.approx(now - age + bal.cold_time if cold else 0.0)
+        bal.tunnel_inherited(tunnel(bal), ep, 99.0)
+    bal.probe_ended(ep, "no-connection", {}, 100.0)
+    bal.probe_ended(ep, "ok", {"load": load}, now)
+    age = load * bal.warm_up_window / (COLD_SAFE * LARGEST * bal.overload_factor)
+    assert ep.warm_at == pytest.approx(now - age + bal.warm_up_window if cold else 0.0)
 
 
 @pytest.mark.parametrize("busy", [0.0, None])
@@ -603,13 +613,13 @@
     # at once.
     bal, _, (ep, _) = balancer([busy, 0.5])
     bal.mean_busy = 0.5
-    bal.probed(ep, "no-connection", {}, 100.0)
+    bal.probe_ended(ep, "no-connection", {}, 100.0)
     for _ in range(3):  # sent while it could not be asked: they tell nothing of the process before
         tun = tunnel(bal)
         bal._send(tun, ep, 100.5)
-        bal.opened(tun, 0, 100.6)
-    bal.probed(ep, "ok", {"load": 0.06}, 101.0)
-    assert ep.warm_at > 110.0 and ep.guessed
+        bal.setup_opened(tun, 0, 100.6)
+    bal.probe_ended(ep, "ok", {"load": 0.06}, 101.0)
+    assert ep.warm_at > 110.0 and ep.start_inferred
 
 
 @pytest.mark.parametrize(
@@ -629,23 +639,25 @@
     # Seen with processes: of a rack of four a balancer had tunnels at two. It found these without a process;
     # the other two were back by the time it asked, empty, and got all tunnels that waited at one moment.
     bal, notes, (ep, *others) = balancer([0.0, 0.5, 0.5])
-    bal.mean_busy, ep.heard_at = 0.5, heard
+    bal.mean_busy, ep.reported_at = 0.5, heard
     if stands:
-        bal.inherited(tunnel(bal), ep, 98.0)
+        bal.tunnel_inherited(tunnel(bal), ep, 98.0)
     for other in others[:fell]:
         other.cell = ep.cell if near else other.cell
-        bal.probed(other, "no-connection", {}, 100.0)
+        bal.probe_ended(other, "no-connection", {}, 100.0)
     if cold:
         bal._place(tunnel(bal), 101.0)
         assert notes.words() == ["probe"]  # asked first, though its report is young enough
-    bal.probed(ep, "ok", {"load": load}, 101.0)
+    bal.probe_ended(ep, "ok", {"load": load}, 101.0)
     assert (ep.warm_at > 110.0) is cold
 
 
 def started(count: int = 4, **changes: Any) -> tuple[Balancer, list[Server]]:
     """A balancer that has just started, with a list from before that."""
-    bal = Balancer(site(**({"asks": True} | changes)), Notes(), Random(1), 100.0)
-    bal.listed([Listed(f"s{i}", "active", 0, i, 0, 0.0, 1.0) for i in range(count)], True, True, 100.0)
+    bal = Balancer(site(**({"list_is_polled": True} | changes)), Notes(), Random(1), 100.0)
+    bal.update_servers(
+        [ServerEntry(f"s{i}", "active", 0, i, 0, 0.0, 1.0) for i in range(count)], True, True, 100.0
+    )
     bal._learn(0.1)
     return bal, list(bal.servers.values())
 
@@ -654,30 +666,32 @@
     # After a power loss 20 of 22 servers were pushed over that the start-up file's list held to be warm.
     bal, servers = started()
     assert not bal._ready(tunnel(bal), servers, 100.0) and all(ep.warm_at == 120.0 for ep in servers)
-    bal.listed([], False, True, 100.5)
+    bal.update_servers([], False, True, 100.5)
     assert all(ep.warm_at == 120.0 for ep in servers)
-    bal.listed([Listed("s0", "active", 0, 0, 0, 99.0, 1.0)], False, False, 101.0)  # others are as they were
+    bal.update_servers(
+        [ServerEntry("s0", "active", 0, 0, 0, 99.0, 1.0)], False, False, 101.0
+    )  # others are as they were
     assert [ep.warm_at for ep in servers] == [119.0, 0.0, 0.0, 0.0]
 
 
 def test_a_list_that_is_pushed_is_current_as_long_as_no_change_comes() -> None:
     # At koers-stream-nl, where no list follows the first, a day began with all servers taken to be cold.
-    bal, servers = started(asks=False)
-    assert all(ep.warm_at == 0.0 and ep.unsure for ep in servers)
+    bal, servers = started(list_is_polled=False)
+    assert all(ep.warm_at == 0.0 and ep.unconfirmed for ep in servers)
     for ep in servers[:2]:
-        bal.probed(ep, "ok", {"load": 0.3}, 100.1)  # heard since: one that falls later tells nothing
-        bal.probed(ep, "no-connection", {}, 100.2)
+        bal.probe_ended(ep, "ok", {"load": 0.3}, 100.1)  # heard since: one that falls later tells nothing
+        bal.probe_ended(ep, "no-connection", {}, 100.2)
     assert servers[3].warm_at == 0.0
     for ep in servers[2:]:
-        bal.probed(ep, "no-connection", {}, 100.3)
+        bal.probe_ended(ep, "no-connection", {}, 100.3)
     assert servers[0].warm_at > 100.3
 
 
 def test_what_own_eyes_saw_since_the_start_outlasts_a_list_that_has_not_noticed() -> None:
     bal, (ep, *_) = started()
-    bal.probed(ep, "no-connection", {}, 100.2)
-    bal.probed(ep, "ok", {"load": 0.0}, 101.0)
-    bal.listed([Listed("s0", "active", 0, 0, 0, 0.0, 1.0)], True, False, 101.5)
+    bal.probe_ended(ep, "no-connection", {}, 100.2)
+    bal.probe_ended(ep, "ok", {"load": 0.0}, 101.0)
+    bal.update_servers([ServerEntry("s0", "active", 0, 0, 0, 0.0, 1.0)], True, False, 101.5)
     assert ep.warm_at == 121.0
 
 
@@ -685,16 +699,16 @@
 def test_many_without_a_process_gainsay_a_memory_that_holds_all_to_be_warm(gone: int, cold: bool) -> None:
     bal, servers = started()
     for ep in servers:
-        bal.sure(ep)
+        bal.confirm_process(ep)
     assert all(ep.warm_at == 0.0 for ep in servers)
     for ep in servers[:gone]:
-        bal.probed(ep, "no-connection", {}, 100.2)
+        bal.probe_ended(ep, "no-connection", {}, 100.2)
     assert (servers[3].warm_at > 100.2) is cold
 
 
 def test_a_server_without_a_process_may_get_what_one_that_starts_may_and_is_asked_first() -> None:
     bal, notes, (ep,) = balancer([0.1])
-    bal.cold_gain = 0.0
+    bal.slow_start_rate = 0.0
     bal._struck(ep, "no-connection", 100.0)
     assert not bal._within_budget(ep, 101.0)
     bal.purse = 0.0
@@ -709,7 +723,7 @@
     bal, notes, (ep,) = balancer([0.1])
     bal._struck(ep, "no-connection", 90.0)
     tun = tunnel(bal, left=1.5 * bal.pace)
-    tun.drawn, bal.cold_gain = [ep], 0.0
+    tun.candidates, bal.slow_start_rate = [ep], 0.0
     bal._offer(tun, 100.0)
     assert notes.words() == ["decline"] and tun.state is State.ENDED
 
@@ -729,10 +743,10 @@
 ) -> None:
     bal, _, (ep, _) = balancer([was, 0.5])
     bal.mean_busy, ep.warm_at = 0.5, told
-    bal.inherited(tunnel(bal), ep, 99.0)
-    bal.probed(ep, "no-connection", {}, 100.0)
-    bal.probed(ep, "ok", {} if now is None else {"load": now}, 103.0)
-    assert (ep.warm_at > 110.0) is cold and not ep.down
+    bal.tunnel_inherited(tunnel(bal), ep, 99.0)
+    bal.probe_ended(ep, "no-connection", {}, 100.0)
+    bal.probe_ended(ep, "ok", {} if now is None else {"load": now}, 103.0)
+    assert (ep.warm_at > 110.0) is cold and not ep.process_missing
     assert cold or ep.warm_at == told
 
 
@@ -748,13 +762,13 @@
     bal, _, (ep, _) = balancer([0.5, 0.5])
     bal.mean_busy = 0.5
     if stands:
-        bal.inherited(tunnel(bal), ep, 100.0)
+        bal.tunnel_inherited(tunnel(bal), ep, 100.0)
     for i in range(2):
         tun = tunnel(bal)
         bal._send(tun, ep, 100.0)
-        bal.opened(tun, 0, 100.1)
-        bal.ended(tun, 0, "reset", True, {}, 101.0 + i * apart)
-    bal.probed(ep, "ok", {"load": load}, 104.0)
+        bal.setup_opened(tun, 0, 100.1)
+        bal.setup_ended(tun, 0, "reset", True, {}, 101.0 + i * apart)
+    bal.probe_ended(ep, "ok", {"load": load}, 104.0)
     assert (ep.warm_at > 110.0) is cold
 
 
@@ -765,10 +779,10 @@
     for _ in range(2):
         tun = tunnel(bal)
         bal._send(tun, ep, 100.0)
-        bal.opened(tun, 0, 100.1)
-        bal.ended(tun, 0, "reset", True, {}, 101.0)
-    bal.probed(ep, "no-connection", {}, 101.1)
-    bal.probed(ep, "ok", {"load": 0.36}, 103.0)
+        bal.setup_opened(tun, 0, 100.1)
+        bal.setup_ended(tun, 0, "reset", True, {}, 101.0)
+    bal.probe_ended(ep, "no-connection", {}, 101.1)
+    bal.probe_ended(ep, "ok", {"load": 0.36}, 103.0)
     assert ep.warm_at > 110.0
 
 
@@ -780,9 +794,9 @@
 ) -> None:
     bal, _, (ep, _) = balancer([0.0, 0.5])
     cold(bal, ep, 100.0, 0.0)
-    ep.guessed = guessed
+    ep.start_inferred = guessed
     for i, load in enumerate(loads):  # a report that sticks, or praises, moves it no further
-        bal.probed(ep, "ok", {"load": load}, 100.1 + i / 10)
+        bal.probe_ended(ep, "ok", {"load": load}, 100.1 + i / 10)
     assert (ep.warm_at < 119.0) is older and ep.warm_at > 110.0
 
 
@@ -792,9 +806,9 @@
     # Power is back: all balancers and all servers are new, and clients wait at every balancer.
     sent: list[float] = []
     for seed in range(balancers):
-        bal, servers = started(1, balancers=max(1, round(balancers * stated)), shares=60.0)
+        bal, servers = started(1, balancer_count=max(1, round(balancers * stated)), tunnel_quota=60.0)
         (ep,) = servers
-        ep.budget = Random(seed).random()
+        ep.slow_start_budget = Random(seed).random()
         for step in range(100):
             now = 100.0 + step / 10
             while bal._ready(tunnel(bal), [ep], now):
@@ -802,22 +816,27 @@
                 ep.recent.clear()
                 bal._reckon(ep)
                 sent.append(now)
-    full = bal.tip_multiple * 60.0 / bal.cold_time  # tunnels a second that all may send it, were it warm
+    full = (
+        bal.overload_factor * 60.0 / bal.warm_up_window
+    )  # tunnels a second that all may send it, were it warm
     for step in range(80):
         begin = 100.0 + step / 10
-        share = bal.cold_share + (1 - bal.cold_share) * (begin + bal.tip_span / 2 - 100.0) / bal.cold_time
-        limit = full * share * bal.tip_span
+        share = (
+            bal.slow_start_share
+            + (1 - bal.slow_start_share) * (begin + bal.overload_window / 2 - 100.0) / bal.warm_up_window
+        )
+        limit = full * share * bal.overload_window
         # Chance over 80 spans: two standard deviations of a count.
-        assert sum(begin <= at < begin + bal.tip_span for at in sent) <= limit + 2.0 * limit**0.5
+        assert sum(begin <= at < begin + bal.overload_window for at in sent) <= limit + 2.0 * limit**0.5
 
 
 @pytest.mark.parametrize(("starts", "held"), [((101.0,), 0.0), ((101.0, 109.0), 12.0), ((101.0, 141.0), 0.0)])
 def test_a_server_that_fails_by_turns_is_held_back(starts: tuple[float, ...], held: float) -> None:
     bal, _, (ep, _) = balancer([0.1, 0.1])
     for at in starts:
-        bal.listed([Listed(ep.name, "active", 0, 0, 0, at, 1.0)], False, False, at)
+        bal.update_servers([ServerEntry(ep.name, "active", 0, 0, 0, at, 1.0)], False, False, at)
     bal.servers[ep.name].warm_at = 0.0  # what matters here is not its being cold
-    assert ep.hold_until == pytest.approx(starts[-1] + held)
+    assert ep.unstable_until == pytest.approx(starts[-1] + held)
     for later, ready in ((held - 0.5, False), (held + 0.5, True)):
         assert later < 0 or (ep in bal._candidates(tunnel(bal), starts[-1] + later)) is ready
 
@@ -829,32 +848,32 @@
     for ep in servers[:failed]:
         tun = tunnel(bal)
         bal._send(tun, ep, 100.0)
-        bal.retries = 0.0
-        bal.ended(tun, 0, "timeout", False, {}, 100.0)
+        bal.retry_budget = 0.0
+        bal.setup_ended(tun, 0, "timeout", False, {}, 100.0)
     assert bool(bal._candidates(tunnel(bal), at)) is sends
     bal._send(tunnel(bal), servers[7], at)
     assert bool(bal._candidates(tunnel(bal), at)) is (failed < 2)
-    bal.opened(notes.asked[-1][1], 0, at)
+    bal.setup_opened(notes.asked[-1][1], 0, at)
     assert bal._candidates(tunnel(bal), at)
 
 
 def test_a_broken_tunnel_has_its_server_asked_at_once() -> None:
     bal, _, (ep, _) = balancer([0.1, 0.1])
     tun = tunnel(bal)
-    bal.inherited(tun, ep, 99.0)
+    bal.tunnel_inherited(tun, ep, 99.0)
     ep.probe_due = 200.0
-    bal.ended(tun, 0, "reset", True, {}, 100.6)
+    bal.setup_ended(tun, 0, "reset", True, {}, 100.6)
     assert ep.probe_due == 100.6
 
 
 @pytest.mark.parametrize(("scarce", "few"), [(True, True), (False, False)])
 def test_groups_stay_near_home_while_tunnels_are_turned_away(scarce: bool, few: bool) -> None:
-    bal, _, servers = balancer([FULL - 0.07] * 40, balancers=200)
+    bal, _, servers = balancer([FULL - 0.07] * 40, balancer_count=200)
     bal.mean_load = bal.full = FULL
     for ep in servers:
-        ep.full_load = FULL - 0.07
+        ep.reported_load = FULL - 0.07
         bal._reckon(ep)
-    bal.scarce_until = 101.0 if scarce else 100.0
+    bal.no_room_until = 101.0 if scarce else 100.0
     drawn = bal._candidates(tunnel(bal, group="g"), 100.0)
     assert (len(drawn) < 10) is few and drawn
 
@@ -865,19 +884,19 @@
     tun = tunnel(bal)
     bal._place(tun, 100.0)
     for number in range(2):
-        bal.ended(tun, number, "error", False, {}, 100.1)
-    assert tun.setups[0].ep is not tun.setups[1].ep
+        bal.setup_ended(tun, number, "error", False, {}, 100.1)
+    assert tun.setups[0].server is not tun.setups[1].server
     assert notes.words() == ["setup", "setup", "decline"]
-    assert not any(ep.out_until > 100.1 for ep in servers)
+    assert not any(ep.ejected_until > 100.1 for ep in servers)
 
 
 def test_further_setups_are_also_earned_by_the_clock() -> None:
     # Guards tunnels on a quiet day, where hardly any opens, from being declined at their first failure.
     bal, _, _ = balancer([0.5])
-    bal.retries = 0.0
+    bal.retry_budget = 0.0
     for i in range(1, 6):
         bal._round(100.0 + i)
-    assert bal.retries == pytest.approx(1.0)
+    assert bal.retry_budget == pytest.approx(1.0)
 
 
 @pytest.mark.parametrize(("retries", "asked"), [(1.0, "setup"), (0.9, "decline")])
@@ -886,24 +905,24 @@
     bal, notes, servers = balancer([0.1] * 3)
     tun = tunnel(bal)
     bal._send(tun, servers[0], 100.0)
-    bal.retries = retries
-    bal.ended(tun, 0, "timeout", False, {}, 100.5)
+    bal.retry_budget = retries
+    bal.setup_ended(tun, 0, "timeout", False, {}, 100.5)
     assert notes.words() == ["setup", asked]
 
 
 def test_one_function_changes_state_and_refuses_what_cannot_be() -> None:
     bal, _, _ = balancer([0.1])
     tun = tunnel(bal)
-    tun.to(State.ENDED)
+    tun.transition_to(State.ENDED)
     with pytest.raises(ValueError, match="cannot become"):
-        tun.to(State.OPEN)
+        tun.transition_to(State.OPEN)
 
 
 def test_reports_from_before_the_standing_tunnels_are_asked_for_again() -> None:
     # Guards against a balancer that takes its servers for empty until the next probe by the clock.
     bal, _, servers = balancer([0.0, 0.0])
     servers[0].probe_due = servers[1].probe_due = 107.0
-    bal.inherited(tunnel(bal), servers[0], 100.0)
+    bal.tunnel_inherited(tunnel(bal), servers[0], 100.0)
     assert servers[0].probe_due == 101.0 and servers[1].probe_due == 107.0
 
 
@@ -911,9 +930,9 @@
     # Guards against a move-off that was not enough and is not looked at until the next probe by the clock.
     bal, _, servers = balancer([0.3, 0.3])
     for _ in range(SEVERAL + 1):
-        bal.inherited(tunnel(bal), servers[0], 100.0)
+        bal.tunnel_inherited(tunnel(bal), servers[0], 100.0)
     servers[0].probe_due = 130.0
-    bal.probed(servers[0], "ok", {"load": 1.2}, 105.0)
+    bal.probe_ended(servers[0], "ok", {"load": 1.2}, 105.0)
     assert servers[0].probe_due == pytest.approx(107.0)
 
 
@@ -924,7 +943,7 @@
     bal._earn(9.9)
     two_rounds = bal.purse
     for _ in range(30):
-        bal.inherited(tunnel(bal), servers[0], 100.0)
+        bal.tunnel_inherited(tunnel(bal), servers[0], 100.0)
     assert bal.purse == pytest.approx(two_rounds + (30 - SEVERAL) * PROBE_SPEND)
 
 
@@ -934,10 +953,10 @@
     bal, _, servers = balancer([0.3, 0.3])
     tunnels = [tunnel(bal) for _ in range(4)]
     for tun in tunnels:
-        bal.inherited(tun, servers[0], 100.0)
+        bal.tunnel_inherited(tun, servers[0], 100.0)
         tun.load = 0.05
     servers[0].probe_due = 130.0
-    bal.load_noted(tunnels[0], load, 100.0)
+    bal.record_load(tunnels[0], load, 100.0)
     assert (tunnels[0].load, servers[0].probe_due) == (load, due)
 
 
@@ -951,15 +970,15 @@
     for i in range(opened):
         tun = tunnel(bal)
         bal._send(tun, ep, 100.0 + i / 1000)
-        bal.opened(tun, 0, 100.1)
+        bal.setup_opened(tun, 0, 100.1)
     assert len(ep.recent) == opened
-    bal.probed(ep, "ok", {"load": load}, 101.1)
+    bal.probe_ended(ep, "ok", {"load": load}, 101.1)
     assert ep.adds == pytest.approx(adds) and not ep.recent and not ep.took
     for _ in range(3):
         ep.recent.append(101.2)
-    added = 3 * min(adds, bal.load_unit) * bal.balancers
+    added = 3 * min(adds, bal.load_per_tunnel) * bal.balancer_count
     assert bal._added(ep) == pytest.approx(added)
-    bal.probed(ep, "ok", {"load": load}, 140.0)
+    bal.probe_ended(ep, "ok", {"load": load}, 140.0)
     assert ep.adds == float("inf")  # no later report has shown it again
 
 
@@ -970,12 +989,12 @@
         tun = tunnel(bal)
         bal._send(tun, ep, 100.0)
         if i < 10:
-            bal.ended(tun, 0, "error", False, {}, 100.05)
+            bal.setup_ended(tun, 0, "error", False, {}, 100.05)
         else:
-            bal.opened(tun, 0, 100.1)
-    bal.probed(ep, "ok", {"load": 0.001}, 100.3)
+            bal.setup_opened(tun, 0, 100.1)
+    bal.probe_ended(ep, "ok", {"load": 0.001}, 100.3)
     assert ep.adds == float("inf") and len(ep.took) == 10
-    bal.probed(ep, "ok", {"load": 0.5}, 101.1)
+    bal.probe_ended(ep, "ok", {"load": 0.5}, 101.1)
     assert ep.adds == pytest.approx(0.1)  # by the ten that stand
 
 
@@ -984,11 +1003,11 @@
     fields: tuple[str, ...], kept: int
 ) -> None:
     # Guards memory: nothing but a report of the load ever takes these off again.
-    bal, _, (ep, _) = balancer([None, None], fields=fields)
+    bal, _, (ep, _) = balancer([None, None], report_fields=fields)
     for _ in range(5000):
         tun = tunnel(bal)
         bal._send(tun, ep, 100.0)
-        bal.opened(tun, 0, 100.1)
+        bal.setup_opened(tun, 0, 100.1)
     assert len(ep.took) == kept
 
 
@@ -996,17 +1015,17 @@
     # Guards rule 4: tunnels that end soon make a server look large.
     bal, _, (ep, _) = balancer([0.0, 0.0])
     bal._learn(0.3)
-    gain = bal.cold_gain
+    gain = bal.slow_start_rate
     for _ in range(20):
         tun = tunnel(bal)
         bal._send(tun, ep, 100.0)
-        bal.opened(tun, 0, 100.1)
-        bal.left(tun, 100.2)
-        bal.ended(tun, 0, "cancelled", True, {}, 100.2)
-    bal.probed(ep, "ok", {"load": 0.001}, 101.1)
-    assert ep.adds < bal.load_unit
+        bal.setup_opened(tun, 0, 100.1)
+        bal.client_left(tun, 100.2)
+        bal.setup_ended(tun, 0, "cancelled", True, {}, 100.2)
+    bal.probe_ended(ep, "ok", {"load": 0.001}, 101.1)
+    assert ep.adds < bal.load_per_tunnel
     bal._learn(0.0)
-    assert bal.cold_gain == gain
+    assert bal.slow_start_rate == gain
 
 
 def test_tunnels_that_wait_have_a_server_asked_as_soon_as_its_report_can_tell() -> None:
@@ -1015,18 +1034,18 @@
     for _ in range(8):
         tun = tunnel(bal)
         bal._send(tun, ep, 100.0)
-        bal.opened(tun, 0, 100.05)
+        bal.setup_opened(tun, 0, 100.05)
     waiting = tunnel(bal)
-    bal.held[waiting] = None
+    bal.queue[waiting] = None
     for server in (ep, other):
-        server.probe_due, server.heard_at, server.asked_at = 200.0, 100.8, 100.8
+        server.probe_due, server.reported_at, server.asked_at = 200.0, 100.8, 100.8
     bal.round_due = 200.0
     bal.tick_due = 100.0
-    bal.tick(100.9)
+    bal.timer_due(100.9)
     assert ("probe", ep) not in notes.asked
-    bal.held[waiting] = None
+    bal.queue[waiting] = None
     bal.tick_due = 100.0
-    bal.tick(101.01)
+    bal.timer_due(101.01)
     assert ("probe", ep) in notes.asked and ("probe", other) not in notes.asked
 
 
@@ -1035,14 +1054,14 @@
     # Each of 40 that wait sent a tunnel for the same little room, and took the server over the limit.
     sent = 0
     for seed in range(40):
-        bal, _, (ep, *full) = balancer([0.5, 0.9, 0.9, 0.9], balancers=40)
-        bal.uniform, bal.load_unit, bal.purse = Random(seed).uniform, 0.03, 1.0
+        bal, _, (ep, *full) = balancer([0.5, 0.9, 0.9, 0.9], balancer_count=40)
+        bal.uniform, bal.load_per_tunnel, bal.purse = Random(seed).uniform, 0.03, 1.0
         for one in (ep, *full):
-            one.full_load = one.busy or 0.0
+            one.reported_load = one.reported_busy or 0.0
             one.reckoned = 0.9
         for _ in range(2):
             bal._hold(tunnel(bal), 100.0)
-        bal.probed(ep, "ok", {"load": reported}, 100.0)
+        bal.probe_ended(ep, "ok", {"load": reported}, 100.0)
         bal._serve_held(100.0)
         sent += len(ep.recent)
     assert 1 <= sent <= most
@@ -1050,10 +1069,10 @@
 
 def test_a_balancer_alone_or_with_nothing_to_place_takes_a_report_as_it_is() -> None:
     for balancers, waits in ((1, 3), (40, 0)):
-        bal, _, (ep, _) = balancer([0.5, 0.5], balancers=balancers)
+        bal, _, (ep, _) = balancer([0.5, 0.5], balancer_count=balancers)
         for _ in range(waits):
             bal._hold(tunnel(bal), 100.0)
-        bal.probed(ep, "ok", {"load": 0.6}, 100.0)
+        bal.probe_ended(ep, "ok", {"load": 0.6}, 100.0)
         assert ep.others == 0.0 and ep.reckoned == 0.6
 
 
@@ -1064,10 +1083,10 @@
     out_for: float, budget: float, asked: bool
 ) -> None:
     # 40 balancers each asked the suspended and the cold ones again and again, whatever these told.
-    bal, notes, (ep, _) = balancer([None, 0.5], balancers=40)
+    bal, notes, (ep, _) = balancer([None, 0.5], balancer_count=40)
     bal.purse = 1.0
     cold(bal, ep, 99.9, budget)
-    ep.probe_due, ep.out_until = 100.0, 100.0 + out_for
+    ep.probe_due, ep.ejected_until = 100.0, 100.0 + out_for
     bal._probe(100.0)
     assert (("probe", ep) in notes.asked) is asked
 
@@ -1077,21 +1096,21 @@
     bal, _, servers = balancer([0.2] * 8)
     now, gaps = 101.0, []
     for _ in range(10):
-        tun, bal.retries = tunnel(bal), 0.0
+        tun, bal.retry_budget = tunnel(bal), 0.0
         bal._send(tun, servers[0], now)
-        now += bal.goal
-        bal.ended(tun, 0, "timeout", False, {}, now)
+        now += bal.attempt_timeout
+        bal.setup_ended(tun, 0, "timeout", False, {}, now)
         for ep in servers:
-            ep.out_until = 0.0
+            ep.ejected_until = 0.0
         began = now
-        while not bal._candidates(tunnel(bal), now) and now < began + 40 * bal.goal:
-            now += bal.goal / 10
-        gaps.append(round((now - began) / bal.goal))
+        while not bal._candidates(tunnel(bal), now) and now < began + 40 * bal.attempt_timeout:
+            now += bal.attempt_timeout / 10
+        gaps.append(round((now - began) / bal.attempt_timeout))
     assert gaps == [0, 1, 2, 4, 8, 16, 16, 16, 16, 16]
     # One that opens ends it.
     tun = tunnel(bal)
     bal._send(tun, servers[0], now)
-    bal.opened(tun, 0, now)
+    bal.setup_opened(tun, 0, now)
     assert bal._candidates(tunnel(bal), now)
 
 
@@ -1099,22 +1118,22 @@
     ("why", "change"),
     [
         ("full", {}),
-        ("pause", {"lost": 9, "lost_at": 100.0}),
-        ("no_list", {"live": []}),
+        ("pause", {"consecutive_unopened": 9, "lost_at": 100.0}),
+        ("no_list", {"active_servers": []}),
         ("setups", {"max_setups": 0}),
     ],
 )
 def test_what_stood_in_the_way_of_a_declined_tunnel_is_counted(why: str, change: dict[str, Any]) -> None:
     bal, notes, servers = balancer([0.9] * 4)
     for ep in servers:
-        ep.full_load = ep.reckoned = 0.9
+        ep.reported_load = ep.reckoned = 0.9
     bal.purse = 0.0
     for name, value in change.items():
         setattr(bal, name, value)
     bal._place(tunnel(bal, left=1.4), 100.0)
     assert notes.words() == ["decline"] and bal.declined == {why: 1}
     for ep in servers:
-        ep.out_until, ep.warm_at = 200.0, 0.0
+        ep.ejected_until, ep.warm_at = 200.0, 0.0
     if not change:
         bal._place(tunnel(bal, left=1.4), 100.0)
         assert bal.declined["ejected"] == 1
@@ -1122,12 +1141,12 @@
 
 def crowded(count: int = 40, load: float = FULL - 0.07) -> tuple[Balancer, Any, list[Server]]:
     """One of 200 balancers, where room is scarce, groups are kept near home, and many servers are new."""
-    bal, notes, servers = balancer([load] * count, balancers=200)
+    bal, notes, servers = balancer([load] * count, balancer_count=200)
     bal.mean_load = bal.full = FULL
     for ep in servers:
-        ep.full_load = load
+        ep.reported_load = load
         bal._reckon(ep)
-    bal.scarce_until, bal.renewed = 110.0, True
+    bal.no_room_until, bal.renewed = 110.0, True
     return bal, notes, servers
 
 
@@ -1152,7 +1171,7 @@
     tun = tunnel(bal, group="g")
     far = max(servers, key=lambda ep: bal._far(tun, ep))
     assert far not in bal._candidates(tun, 100.0)
-    bal.inherited(tunnel(bal, group="g"), far, 99.0)
+    bal.tunnel_inherited(tunnel(bal, group="g"), far, 99.0)
     assert far in bal._candidates(tun, 100.0)
 
 
@@ -1161,7 +1180,7 @@
     bal, notes, servers = crowded(load=0.9)
     bal.purse = 1.0
     for ep in servers:
-        ep.heard_at = ep.asked_at = 90.0
+        ep.reported_at = ep.asked_at = 90.0
     bal._place(tunnel(bal, left=1.6, group="g"), 100.0)
     assert notes.words() == ["probe"]
 
@@ -1195,11 +1214,11 @@
     # It was held for as full as the mean, and with no credit for a probe it stayed empty for its warm-up.
     bal, _, servers = crowded(load=0.9)
     bal.purse, bal.round_at = 0.0, 100.0
-    bal.listed([Listed("new", "active", 0, 0, 0, started, 1.0)], False, False, 100.0)
+    bal.update_servers([ServerEntry("new", "active", 0, 0, 0, started, 1.0)], False, False, 100.0)
     new = bal.servers["new"]
     bal.mean_load = 0.9
     bal._reckon(new)
-    new.budget, new.budget_at, new.counted = budget, 100.0, True
+    new.slow_start_budget, new.budget_updated_at, new.counted = budget, 100.0, True
     assert (new in bal._ready(tunnel(bal), [new, *servers], 100.0)) is ready
 
 
@@ -1212,14 +1231,14 @@
 ) -> None:
     # With 200 balancers, the few with room went from half full to overdriven while reports were a second old.
     # Without servers that are new, in a steady overload, the same kept room empty.
-    bal, notes, servers = balancer([0.5] * 4, balancers=balancers)
-    bal.purse, bal.lately, bal.came = 1.0, lately, round(lately / 2)
-    bal.round_at, bal.load_unit = 99.5, 0.02
+    bal, notes, servers = balancer([0.5] * 4, balancer_count=balancers)
+    bal.purse, bal.lately, bal.arrivals = 1.0, lately, round(lately / 2)
+    bal.round_at, bal.load_per_tunnel = 99.5, 0.02
     for ep in servers:
-        ep.full_load = 0.5
+        ep.reported_load = 0.5
         bal._reckon(ep)
     for ep in servers[:new]:  # warm again, a while ago
-        ep.told, ep.warm_at = True, 90.0
+        ep.start_listed, ep.warm_at = True, 90.0
     bal.may_probe = False
     bal._round(100.0)
     bal.may_probe = True
@@ -1236,14 +1255,14 @@
     # One with room for 17 among 200 balancers, at each of which one tunnel came: all took it.
     sent = 0
     for seed in range(200):
-        bal, _, (ep, *full) = balancer([0.3, 0.9, 0.9], balancers=200)
-        bal.uniform, bal.load_unit, bal.purse, bal.lately = Random(seed).uniform, 0.02, 1.0, lately
+        bal, _, (ep, *full) = balancer([0.3, 0.9, 0.9], balancer_count=200)
+        bal.uniform, bal.load_per_tunnel, bal.purse, bal.lately = Random(seed).uniform, 0.02, 1.0, lately
         bal.renewed = renewed
         for one in full:
-            one.full_load = one.reckoned = 0.9
-        ep.heard_at = ep.asked_at = 90.0
+            one.reported_load = one.reckoned = 0.9
+        ep.reported_at = ep.asked_at = 90.0
         bal._place(tunnel(bal), 100.0)
-        bal.probed(ep, "ok", {"load": 0.3}, 100.0)
+        bal.probe_ended(ep, "ok", {"load": 0.3}, 100.0)
         sent += len(ep.recent)
     assert 50 < sent <= most
 
@@ -1256,10 +1275,10 @@
     told: str, balancers: int, ready: set[int]
 ) -> None:
     # A large group's homes got all of it, as nothing told that they were full; a cold one as many as others.
-    bal, _, servers = balancer([6.0, 6.0, 6.0, 9.0, 2.0], balancers=balancers, fields=(told,))
+    bal, _, servers = balancer([6.0, 6.0, 6.0, 9.0, 2.0], balancer_count=balancers, report_fields=(told,))
     cold(bal, servers[4], 100.0, 1.0)
     for ep in servers:
-        ep.full_load = (ep.busy or 0.0) * bal.weighs
+        ep.reported_load = (ep.reported_busy or 0.0) * bal.weighs
         ep.asked_at = 100.0
     bal._learn(0.1)
     room = bal._with_room(tunnel(bal, group="g"), servers, 100.0)
@@ -1269,19 +1288,19 @@
 @pytest.mark.parametrize("waiting", [1, 20])
 def test_a_mass_arrival_is_not_let_in_one_by_one_where_loads_are_not_told(waiting: int) -> None:
     # Five balancers before four empty servers: 1.25 times a mean of nought let each take one a round.
-    bal, _, servers = balancer([0.0] * 4, balancers=5, fields=("connections",))
+    bal, _, servers = balancer([0.0] * 4, balancer_count=5, report_fields=("connections",))
     for _ in range(waiting):
         bal._hold(tunnel(bal), 100.0)
     bal._learn(0.1)
-    servers[0].busy = 20.0
+    servers[0].reported_busy = 20.0
     assert (servers[0] in bal._with_room(tunnel(bal), servers, 100.0)) is (waiting > 1)
 
 
 def test_servers_that_are_ejected_do_not_tell_what_the_others_may_take() -> None:
     # Half of them hang: what they held goes to the others, which are not full at 1.25 times what both held.
-    bal, _, servers = balancer([4.0, 4.0, 8.0, 8.0], balancers=5, fields=("connections",))
+    bal, _, servers = balancer([4.0, 4.0, 8.0, 8.0], balancer_count=5, report_fields=("connections",))
     for ep in servers[:2]:
-        ep.out_until = 110.0
+        ep.ejected_until = 110.0
     bal._learn(0.1)
     assert servers[2] in bal._with_room(tunnel(bal), servers, 100.0)
 
@@ -1289,18 +1308,20 @@
 def test_a_restart_that_is_told_while_a_setup_is_dialled_has_a_budget_of_its_own() -> None:
     bal, _, (ep,) = balancer([0.1])
     tun = tunnel(bal)
-    bal.arrived(tun, False, 100.0)
-    bal.listed([Listed(ep.name, "active", 0, 0, 0, 100.05, 1.0)], False, False, 100.1)
-    ep.budget, ep.budget_at = 0.0, 100.1
-    assert not bal.may_write(tun, 0, 100.11)
+    bal.tunnel_arrived(tun, False, 100.0)
+    bal.update_servers([ServerEntry(ep.name, "active", 0, 0, 0, 100.05, 1.0)], False, False, 100.1)
+    ep.slow_start_budget, ep.budget_updated_at = 0.0, 100.1
+    assert not bal.may_write_request(tun, 0, 100.11)
 
 
 def test_a_silent_server_is_left_in_time_also_where_setup_goals_are_long() -> None:
-    bal, notes, _ = balancer([0.1, 0.1], profiles=(replace(REPEATABLE, setup_goal=2.0, client_timeout=9.0),))
+    bal, notes, _ = balancer(
+        [0.1, 0.1], profiles=(replace(REPEATABLE, attempt_timeout=2.0, client_timeout=9.0),)
+    )
     tun = tunnel(bal)
-    bal.arrived(tun, False, 100.0)
-    bal.opened(tun, 0, 100.1)
-    bal.silent(tun, 5.0, 105.2)
-    assert "move" not in notes.words()
-    bal.silent(tun, 6.1, 106.3)
-    assert "move" in notes.words()
+    bal.tunnel_arrived(tun, False, 100.0)
+    bal.setup_opened(tun, 0, 100.1)
+    bal.record_silence(tun, 5.0, 105.2)
+    assert "migrate" not in notes.words()
+    bal.record_silence(tun, 6.1, 106.3)
+    assert "migrate" in notes.words()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -16,24 +16,24 @@
 from filling_world import World
 from pointgw import checked, operators
 from pointgw.interface import Profile
-from pointgw.net.run.recovering import Recovering
-from pointgw.net.wire.start import Start, start
+from pointgw.net.run.recovering import RecoveryRunner
+from pointgw.net.wire.start import StartUpSettings, parse_start_up_file
 from pointgw.recovery import words
-from pointgw.recovery.loans import AGAIN, LEASE, OWN, Loans, few
-from pointgw.recovery.phase import KEPT, LONGEST, Phase, Seen, Standing, rank
-from pointgw.recovery.words import Word
-from pointgw.tier.wire import Keys, Refused
+from pointgw.recovery.loans import AGAIN, LEASE_DURATION, OWN, Leases, few
+from pointgw.recovery.phase import KEPT, LONGEST, Phase, RecoveryPhaseTracker, ServerCounts, rank
+from pointgw.recovery.words import LeaseMessage
+from pointgw.tier.wire import Keys, RefusedDatagramError
 
 SPAN = 2.0
 KEY = Keys((b"0123456789abcdef",))
 
 
-def tier(count: int, at: float = 0.0, seed: int = 1) -> list[Loans]:
+def tier(count: int, at: float = 0.0, seed: int = 1) -> list[Leases]:
     """Balancers that have stood long enough to lend."""
-    return [Loans(n, count, SPAN, Random(seed * 1000 + n), at - SPAN) for n in range(count)]
+    return [Leases(n, count, SPAN, Random(seed * 1000 + n), at - SPAN) for n in range(count)]
 
 
-def changes(balancer: Loans) -> list[float]:
+def changes(balancer: Leases) -> list[float]:
     """When its part changes by itself."""
     return [balancer.lent_until, *(loan.ends for loan in balancer.loans.values())]
 
@@ -41,7 +41,7 @@
 class Box:
     """Words between balancers: lost, late, doubled, by chance."""
 
-    def __init__(self, balancers: list[Loans], rng: Random, loss: float, late: float, twice: float) -> None:
+    def __init__(self, balancers: list[Leases], rng: Random, loss: float, late: float, twice: float) -> None:
         self.all, self.rng, self.loss, self.late, self.twice = balancers, rng, loss, late, twice
         self.queue: list[tuple[float, int, Callable[[float], object]]] = []
         self.count = 0
@@ -57,13 +57,13 @@
             at, _, take = heapq.heappop(self.queue)
             take(at)
 
-    def ask(self, borrower: Loans, needs: bool, now: float) -> None:
-        for lender, number in borrower.asks(needs, not needs, now):
+    def ask(self, borrower: Leases, needs: bool, now: float) -> None:
+        for lender, number in borrower.requests_due(needs, not needs, now):
             self.send(now, partial(self._asked, borrower, self.all[lender], number))
 
-    def _asked(self, borrower: Loans, lender: Loans, number: int, now: float) -> None:
-        if lender.asked(borrower.me, now):
-            self.send(now, partial(borrower.given, lender.me, number))
+    def _asked(self, borrower: Leases, lender: Leases, number: int, now: float) -> None:
+        if lender.receive_request(borrower.me, now):
+            self.send(now, partial(borrower.receive_grant, lender.me, number))
 
 
 @settings(max_examples=60, deadline=None)
@@ -85,12 +85,12 @@
             if rng.random() < 0.05:
                 needs[n] = not needs[n]
             if rng.random() < 0.01:
-                all_of_them[n] = Loans(n, count, SPAN, Random(rng.random()), now)
+                all_of_them[n] = Leases(n, count, SPAN, Random(rng.random()), now)
             box.ask(all_of_them[n], needs[n], now)
         # Also at the moment each loan ends, and just before it.
         ends = [end - 1e-9 for b in all_of_them for end in changes(b) if now < end < now + 0.05]
         for at in (now, *ends):
-            assert sum(b.part(at) for b in all_of_them) <= count + 1e-6
+            assert sum(b.budget_share(at) for b in all_of_them) <= count + 1e-6
 
 
 @pytest.mark.parametrize("count", [3, 6, 40, 200, 1000])
@@ -106,34 +106,38 @@
             box.ask(b, b.me in waiting, now)
         sent = box.count
     now = 2.0
-    parts = [all_of_them[n].part(now) for n in waiting]
-    others = [b.part(now) for b in all_of_them if b.me not in waiting]
+    parts = [all_of_them[n].budget_share(now) for n in waiting]
+    others = [b.budget_share(now) for b in all_of_them if b.me not in waiting]
     assert sum(parts) / len(parts) > 1.0 + 0.7 * min(few(count), 1.0) * (1 - len(waiting) / count)
     assert len(parts) < 3 or sum(parts) / len(parts) > 0.6 * (1 + min(few(count), 8))
     assert min(others) == pytest.approx(OWN)
     # What it costs: a question and its answer for each loan, four times a lease at most.
-    assert sent <= 2.0 * len(waiting) * 3 / (AGAIN * LEASE * SPAN) * 2.0
+    assert sent <= 2.0 * len(waiting) * 3 / (AGAIN * LEASE_DURATION * SPAN) * 2.0
 
 
 def test_a_late_answer_is_a_loan_only_for_what_is_left_of_it() -> None:
     borrower, lender = tier(2)
-    ((who, number),) = borrower.asks(True, False, 0.0)
+    ((who, number),) = borrower.requests_due(True, False, 0.0)
     assert who == 1
-    lender.asks(False, True, 0.0)
-    assert lender.asked(0, 0.4) and lender.part(0.4) == OWN
-    assert borrower.given(1, number, 0.9) and borrower.part(0.9) == pytest.approx(1.9)
-    assert borrower.part(1.0) == 1.0 and lender.part(1.49) == OWN and lender.part(1.5) == 1.0
+    lender.requests_due(False, True, 0.0)
+    assert lender.receive_request(0, 0.4) and lender.budget_share(0.4) == OWN
+    assert borrower.receive_grant(1, number, 0.9) and borrower.budget_share(0.9) == pytest.approx(1.9)
+    assert (
+        borrower.budget_share(1.0) == 1.0
+        and lender.budget_share(1.49) == OWN
+        and lender.budget_share(1.5) == 1.0
+    )
 
 
 def test_an_answer_that_comes_after_its_time_or_again_is_no_loan() -> None:
     borrower, lender = tier(2)
-    ((_, number),) = borrower.asks(True, False, 0.0)
-    assert not borrower.given(1, number + 1, 0.1) and not borrower.given(1, 0, 0.1)
-    assert not borrower.given(1, number, 1.0) and borrower.part(1.0) == 1.0
-    ((_, number),) = borrower.asks(True, False, 1.1)
-    assert borrower.given(1, number, 1.2) and not borrower.given(1, number, 1.3)
-    assert borrower.part(1.3) == pytest.approx(1.9) and borrower.part(2.1) == 1.0
-    assert lender.part(0.0) == 1.0
+    ((_, number),) = borrower.requests_due(True, False, 0.0)
+    assert not borrower.receive_grant(1, number + 1, 0.1) and not borrower.receive_grant(1, 0, 0.1)
+    assert not borrower.receive_grant(1, number, 1.0) and borrower.budget_share(1.0) == 1.0
+    ((_, number),) = borrower.requests_due(True, False, 1.1)
+    assert borrower.receive_grant(1, number, 1.2) and not borrower.receive_grant(1, number, 1.3)
+    assert borrower.budget_share(1.3) == pytest.approx(1.9) and borrower.budget_share(2.1) == 1.0
+    assert lender.budget_share(0.0) == 1.0
 
 
 @pytest.mark.parametrize("count", [6, 50, 200])
@@ -142,11 +146,11 @@
     all_of_them = tier(count)
     for b in all_of_them:
         for step in range(2 * few(count)):
-            for lender, number in b.asks(True, False, step * 0.26):
+            for lender, number in b.requests_due(True, False, step * 0.26):
                 if lender == 0:
-                    b.given(0, number, step * 0.26)
+                    b.receive_grant(0, number, step * 0.26)
     now = (2 * few(count) - 1) * 0.26
-    assert sum(b.part(now) for b in all_of_them) <= count * (1 + max(1 / count, 0.04))
+    assert sum(b.budget_share(now) for b in all_of_them) <= count * (1 + max(1 / count, 0.04))
 
 
 @pytest.mark.parametrize(
@@ -162,34 +166,34 @@
 )
 def test_who_gets_the_part(waits: bool, borrower: int, lent: int, lends: bool) -> None:
     lender = tier(200)[1]
-    lender.asks(waits, not waits, 0.0)
+    lender.requests_due(waits, not waits, 0.0)
     if lent >= 0:
         lender.lent_to, lender.lent_until = lent, 0.5
     borrower = (borrower - 1) % 200 if borrower not in (0, 17, 1) else borrower
     if lent == 5:
         lender.lent_to = (lent - 1) % 200 if borrower != 0 else 199
-    assert lender.asked(borrower, 0.1) is (lends and (lender.me - borrower) % 200 <= 8)
+    assert lender.receive_request(borrower, 0.1) is (lends and (lender.me - borrower) % 200 <= 8)
 
 
 def test_one_that_has_just_started_lends_nothing_and_goes_without_what_may_be_lent() -> None:
-    lender = Loans(1, 2, SPAN, Random(1), 10.0)
-    lender.asks(False, True, 10.0)
-    assert not lender.asked(0, 10.5) and lender.part(10.5) == OWN
-    assert lender.part(11.1) == 1.0 and lender.asked(0, 11.1)
+    lender = Leases(1, 2, SPAN, Random(1), 10.0)
+    lender.requests_due(False, True, 10.0)
+    assert not lender.receive_request(0, 10.5) and lender.budget_share(10.5) == OWN
+    assert lender.budget_share(11.1) == 1.0 and lender.receive_request(0, 11.1)
 
 
-WORD = Word(words.ASK, 3, 4, 2**62, 200)
+WORD = LeaseMessage(words.ASK, 3, 4, 2**62, 200)
 
 
 def test_a_word_is_read_whole_or_not_at_all() -> None:
     data = words.seal(WORD, KEY)
     assert words.unseal(data, KEY) == WORD and len(data) < 64
     for cut in range(len(data)):
-        with pytest.raises(Refused):
+        with pytest.raises(RefusedDatagramError):
             words.unseal(data[:cut], KEY)
     for at in range(len(data)):
         for bit in range(8):
-            with pytest.raises(Refused):
+            with pytest.raises(RefusedDatagramError):
                 words.unseal(data[:at] + bytes((data[at] ^ 1 << bit,)) + data[at + 1 :], KEY)
 
 
@@ -197,11 +201,11 @@
     "body", [b"", b"\x90", b"\x95\x02\x03\x04\x05\x06", b"\x95\x00\xcd\xff\xff\x04\x05\x06", b"\xc1" * 40]
 )
 def test_a_signed_body_that_is_no_word_is_refused(body: bytes) -> None:
-    with pytest.raises(Refused):
+    with pytest.raises(RefusedDatagramError):
         words.unseal(KEY.seal(body, words.MAGIC), KEY)
 
 
-def file(tmp_path: Path, text: str) -> operators.Recovery:
+def file(tmp_path: Path, text: str) -> operators.RecoverySection:
     path = tmp_path / "operators.toml"
     path.write_text(text)
     found = operators.read(str(path)).recovery
@@ -209,12 +213,12 @@
     return found
 
 
-def told(**changes: object) -> Start:
+def told(**changes: object) -> StartUpSettings:
     line: dict[str, object] = {
         "name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1",
         "known": {"index": 0, "snapshot": True, "endpoints": []}, "settings": {"instances": 2, "me": 0},
     }  # fmt: skip
-    return start(msgspec.json.encode(line | changes))
+    return parse_start_up_file(msgspec.json.encode(line | changes))
 
 
 @pytest.mark.parametrize(
@@ -233,22 +237,22 @@
 def test_what_operators_wrote_wrongly_is_told_in_a_line(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], text: str, fault: str
 ) -> None:
-    assert Recovering.begin(file(tmp_path, text), told()) is None
+    assert RecoveryRunner.begin(file(tmp_path, text), told()) is None
     (line,) = capfd.readouterr().err.splitlines()
     assert fault in line
 
 
 def test_an_unknown_key_is_refused(tmp_path: Path) -> None:
-    with pytest.raises(checked.Faulty, match=r"recovery\.loan\b"):
+    with pytest.raises(checked.InvalidFileError, match=r"recovery\.loan\b"):
         file(tmp_path, "[recovery]\nloan = true\n")
 
 
-def look(cold: int, waits: bool = True, heard: int = 10) -> Seen:
-    return Seen(10, heard, cold, waits)
+def look(cold: int, waits: bool = True, heard: int = 10) -> ServerCounts:
+    return ServerCounts(10, heard, cold, waits)
 
 
 def test_the_phases_are_entered_and_left_at_marks_that_lie_apart() -> None:
-    standing = Standing(10.0, 0.0)
+    standing = RecoveryPhaseTracker(10.0, 0.0)
     assert standing.look(look(0, heard=2), 0.1) is Phase.FINDING
     assert standing.look(look(8, waits=False, heard=2), 0.2) is Phase.FINDING
     assert standing.look(look(8), 0.5) is Phase.FILLING
@@ -261,7 +265,7 @@
 
 
 def test_one_that_hears_of_no_server_does_not_look_for_ever() -> None:
-    standing = Standing(10.0, 0.0)
+    standing = RecoveryPhaseTracker(10.0, 0.0)
     assert standing.look(look(0, heard=0), 9.9) is Phase.FINDING
     assert standing.look(look(0, heard=0), LONGEST * 10.0) is Phase.STEADY
 
@@ -270,11 +274,11 @@
 @given(st.lists(st.tuples(st.integers(0, 10), st.integers(0, 10), st.booleans()), max_size=200))
 def test_a_load_at_the_mark_changes_the_phase_a_few_times(looks: list[tuple[int, int, bool]]) -> None:
     # Each stay in `filling` is a quarter of the warm-up at least, whatever is seen.
-    standing = Standing(10.0, 0.0, Phase.STEADY)
+    standing = RecoveryPhaseTracker(10.0, 0.0, Phase.STEADY)
     entered = []
     for step, (heard, cold, waits) in enumerate(looks):
         was = standing.phase
-        if standing.look(Seen(10, heard, cold, waits), step * 0.1) is not was and was is Phase.STEADY:
+        if standing.look(ServerCounts(10, heard, cold, waits), step * 0.1) is not was and was is Phase.STEADY:
             entered.append(step * 0.1)
     assert len(entered) <= 1 + len(looks) * 0.1 / (KEPT * 10.0)
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -5,7 +5,7 @@
 import pytest
 
 from helpers import site
-from pointgw.interface import Listed, Profile
+from pointgw.interface import Profile, ServerEntry
 from pointgw.net.memory import effects as fx
 from pointgw.net.memory import events as ev
 from pointgw.net.memory.reducer import (
@@ -18,52 +18,52 @@
     TOLD_WITHIN,
     Reducer,
 )
-from pointgw.net.wire.lines import Closing, Decline, Failure, Load, Opening
-from pointgw.net.wire.listing import Listing, Names
-from pointgw.net.wire.start import Start
+from pointgw.net.wire.lines import Decline, EndLine, Failure, Load, OpenRequest
+from pointgw.net.wire.listing import Names, ServerList
+from pointgw.net.wire.start import StartUpSettings
 
 
 def reducer(seed: int = 5, **changes: Any) -> Reducer:
     """At time 100, with two servers, known to be warm, and no probes unless asked for; its first effects are
     read."""
-    lines = tuple(Listed(f"s{i}", "active", 0, i, 0, 0.0, 1.0) for i in range(2))
-    known = Listing(7, True, lines, tuple((f"s{i}", "127.0.0.9", 9000 + i) for i in range(2)))
-    settings = site(**({"may_probe": False, "asks": True} | changes))
-    told = Start(
+    lines = tuple(ServerEntry(f"s{i}", "active", 0, i, 0, 0.0, 1.0) for i in range(2))
+    known = ServerList(7, True, lines, tuple((f"s{i}", "127.0.0.9", 9000 + i) for i in range(2)))
+    settings = site(**({"may_probe": False, "list_is_polled": True} | changes))
+    told = StartUpSettings(
         "n0", ("127.0.0.1", 1), ("127.0.0.1", 2), seed, settings,
         Names(("a",), ("k",)), ("chat",), ("acme",), 0.12, 256, known,
     )  # fmt: skip
     red = Reducer(told, 100.0)
-    red.given()
+    red.take_effects()
     for ep in red.balancer.servers.values():
-        red.balancer.sure(ep)
+        red.balancer.confirm_process(ep)
     return red
 
 
-def opening(at: str = "", patience: float | None = 3.0, name: str = "id") -> Opening:
-    return Opening(name, "key", "chat", "acme", "", patience, False, at, b"OPEN", b"")
+def opening(at: str = "", patience: float | None = 3.0, name: str = "id") -> OpenRequest:
+    return OpenRequest(name, "key", "chat", "acme", "", patience, False, at, b"OPEN", b"")
 
 
 def arrive(red: Reducer, client: int = 1, now: float = 100.0, at: str = "") -> list[fx.Effect]:
-    return red.take(ev.Arrived(client, opening(at, name=f"id{client}")), now)
+    return red.dispatch(ev.ClientArrived(client, opening(at, name=f"id{client}")), now)
 
 
 def opened(red: Reducer, client: int = 1) -> None:
     arrive(red, client)
-    assert red.take(ev.Opened(client, 0), 100.1) == [fx.Join(client, 0)]
+    assert red.dispatch(ev.SetupOpened(client, 0), 100.1) == [fx.RelayTunnel(client, 0)]
 
 
 def test_an_arrival_is_set_up_within_its_setup_goal() -> None:
     (connect,) = arrive(reducer())
     assert isinstance(connect, fx.Connect)
-    assert (connect.client, connect.setup, connect.patience, connect.within) == (1, 0, 0.5, 0.5)
-    assert connect.connect_within == 0.12
+    assert (connect.client, connect.setup, connect.remaining_time, connect.timeout) == (1, 0, 0.5, 0.5)
+    assert connect.connect_timeout == 0.12
 
 
 def test_a_setup_that_fails_is_made_elsewhere() -> None:
     red = reducer()
     (first,) = arrive(red)
-    (second,) = red.take(ev.Ended(1, 0, Closing("no-connection", {}), False), 100.2)
+    (second,) = red.dispatch(ev.SetupEnded(1, 0, EndLine("no-connection", {}), False), 100.2)
     assert isinstance(first, fx.Connect) and isinstance(second, fx.Connect)
     assert second.setup == 1 and second.address != first.address
 
@@ -72,40 +72,40 @@
     # Guards rule 2 on sockets: a reset after the line's last byte may have run.
     red = reducer(profiles=(Profile("once-only", "all", 5.0, 0.5, 3.0, 1.0),))
     arrive(red)
-    assert red.take(ev.Ended(1, 0, Closing("reset", {}), True), 100.2) == [fx.Reply(1, Failure())]
-    assert not red.clients and not red.of
+    assert red.dispatch(ev.SetupEnded(1, 0, EndLine("reset", {}), True), 100.2) == [fx.Reply(1, Failure())]
+    assert not red.clients and not red.client_of
 
 
 def test_one_that_leaves_before_its_answer_is_cancelled_at_once() -> None:
     red = reducer()
     arrive(red)
-    assert red.take(ev.Left(1, False), 100.1) == [fx.Drop(1, 0)]
+    assert red.dispatch(ev.ClientLeft(1, False), 100.1) == [fx.AbandonSetup(1, 0)]
     assert not red.clients
     # Guards against a server's answer that crossed the client's end.
-    assert red.take(ev.Opened(1, 0), 100.2) == [fx.Drop(1, 0)]
+    assert red.dispatch(ev.SetupOpened(1, 0), 100.2) == [fx.AbandonSetup(1, 0)]
 
 
 def test_one_that_is_held_gets_one_answer_before_its_client_gives_up() -> None:
     red = reducer()
-    red.take(ev.Told(Listing(8, True, (), ())), 100.0)
+    red.dispatch(ev.ListReceived(ServerList(8, True, (), ())), 100.0)
     arrive(red)
     answers: list[fx.Effect] = []
     for i in range(40):
-        answers += [e for e in red.take(ev.Tick(), 100.1 + i * 0.1) if isinstance(e, fx.Reply)]
+        answers += [e for e in red.dispatch(ev.TimerDue(), 100.1 + i * 0.1) if isinstance(e, fx.Reply)]
     assert answers == [fx.Reply(1, Decline(1.0))] and not red.clients
 
 
 def test_an_open_tunnel_ends_as_its_server_ends_it() -> None:
     red = reducer()
     opened(red)
-    assert red.take(ev.Ended(1, 0, Closing("reset", {}), True), 101.0) == [fx.End(1, True)]
-    assert not red.clients and red.take(ev.Left(1, False), 101.1) == []
+    assert red.dispatch(ev.SetupEnded(1, 0, EndLine("reset", {}), True), 101.0) == [fx.CloseClient(1, True)]
+    assert not red.clients and red.dispatch(ev.ClientLeft(1, False), 101.1) == []
 
 
 def test_an_open_tunnel_ends_as_its_client_ends_it() -> None:
     red = reducer()
     opened(red)
-    assert red.take(ev.Left(1, True), 101.0) == [fx.Drop(1, 0, True)]
+    assert red.dispatch(ev.ClientLeft(1, True), 101.0) == [fx.AbandonSetup(1, 0, True)]
     assert not red.clients and not any(ep.tunnels for ep in red.balancer.servers.values())
 
 
@@ -113,8 +113,8 @@
     # Guards against machines that vanish: their connections stay open and bring nothing back.
     red = reducer()
     opened(red)
-    assert red.take(ev.Slow(1, 3.9, True), 104.0) == []
-    assert red.take(ev.Slow(1, 4.1, True), 104.2) == [fx.Move(1, 0)]
+    assert red.dispatch(ev.ServerSlow(1, 3.9, True), 104.0) == []
+    assert red.dispatch(ev.ServerSlow(1, 4.1, True), 104.2) == [fx.MigrateClient(1, 0)]
     assert not red.clients
 
 
@@ -122,60 +122,70 @@
     red = reducer()
     (connect,) = arrive(red, at="s1")
     assert isinstance(connect, fx.Connect)
-    assert connect.address == ("127.0.0.9", 9001) and connect.patience is None
-    (again,) = red.take(ev.Ended(1, 0, Closing("no-connection", {}), False), 101.0)
-    assert isinstance(again, fx.Connect) and again.after > 0
-    assert red.take(ev.Opened(1, 0), 102.0) == [fx.Join(1, 0)]
-    assert list(red.balancer.servers["s1"].tunnels) == [red.clients[1].tun]
+    assert connect.address == ("127.0.0.9", 9001) and connect.remaining_time is None
+    (again,) = red.dispatch(ev.SetupEnded(1, 0, EndLine("no-connection", {}), False), 101.0)
+    assert isinstance(again, fx.Connect) and again.delay > 0
+    assert red.dispatch(ev.SetupOpened(1, 0), 102.0) == [fx.RelayTunnel(1, 0)]
+    assert list(red.balancer.servers["s1"].tunnels) == [red.clients[1].tunnel]
     arrive(red, 2, at="s1")
-    assert red.take(ev.Ended(2, 0, Closing("full", {}), False), 101 + STANDING) == [fx.Reply(2, Failure())]
+    assert red.dispatch(ev.SetupEnded(2, 0, EndLine("full", {}), False), 101 + STANDING) == [
+        fx.Reply(2, Failure())
+    ]
 
 
 @pytest.mark.parametrize(
-    "line", [opening(at="s9"), Opening("id", "key", "other", "acme", "", 3.0, False, "", b"OPEN", b"")]
+    "line", [opening(at="s9"), OpenRequest("id", "key", "other", "acme", "", 3.0, False, "", b"OPEN", b"")]
 )
-def test_what_names_nothing_known_is_closed_with_error(line: Opening) -> None:
-    assert reducer().take(ev.Arrived(1, line), 100.0) == [fx.Reply(1, Failure())]
+def test_what_names_nothing_known_is_closed_with_error(line: OpenRequest) -> None:
+    assert reducer().dispatch(ev.ClientArrived(1, line), 100.0) == [fx.Reply(1, Failure())]
 
 
 def test_the_name_of_another_clients_tunnel_is_closed_with_error() -> None:
     # Guards servers' standing: each fails such a tunnel, and all would be suspended.
     red = reducer()
     opened(red)
-    assert red.take(ev.Arrived(2, opening(name="id1")), 100.2) == [fx.Reply(2, Failure())]
-    red.take(ev.Left(1, False), 100.3)
-    assert isinstance(red.take(ev.Arrived(3, opening(name="id1")), 100.4)[0], fx.Connect)
+    assert red.dispatch(ev.ClientArrived(2, opening(name="id1")), 100.2) == [fx.Reply(2, Failure())]
+    red.dispatch(ev.ClientLeft(1, False), 100.3)
+    assert isinstance(red.dispatch(ev.ClientArrived(3, opening(name="id1")), 100.4)[0], fx.Connect)
 
 
 @pytest.mark.parametrize(("told", "left"), [(1e17, 3.0), (2.0, 2.0), (None, 3.0)])
 def test_no_tunnel_waits_longer_than_its_profile_says(told: float | None, left: float) -> None:
     # Guards against a client that would be held for good.
     red = reducer()
-    red.take(ev.Arrived(1, opening(patience=told)), 100.0)
-    assert red.clients[1].tun.deadline == pytest.approx(100.0 + left, abs=0.05)
+    red.dispatch(ev.ClientArrived(1, opening(patience=told)), 100.0)
+    assert red.clients[1].tunnel.deadline == pytest.approx(100.0 + left, abs=0.05)
 
 
 def test_a_reload_asks_another_discovery_for_the_whole_list() -> None:
     # Guards against a list that stays as it was, and against versions that another discovery counts anew.
     red = reducer()
     names = Names(("a",), ("k",))
-    assert red.take(ev.Reloaded(("127.0.0.1", 2), names), 100.5) == []  # where it was: the watch goes on
+    assert (
+        red.dispatch(ev.SettingsReloaded(("127.0.0.1", 2), names), 100.5) == []
+    )  # where it was: the watch goes on
     there = ("127.0.0.1", 3)
-    assert red.take(ev.Reloaded(there, names), 101.0) == [fx.Turn(there, names), fx.Ask(None, 0.0)]
-    gone = [fx.ForgetServer(server.name) for server in red.balancer.live]
+    assert red.dispatch(ev.SettingsReloaded(there, names), 101.0) == [
+        fx.SwitchDiscovery(there, names),
+        fx.RequestList(None, 0.0),
+    ]
+    gone = [fx.ForgetServer(server.name) for server in red.balancer.active_servers]
     assert len(gone) == 2
-    assert red.take(ev.Told(Listing(2, True, (), ())), 101.1) == [fx.Ask(2, red.hold), *gone]
+    assert red.dispatch(ev.ListReceived(ServerList(2, True, (), ())), 101.1) == [
+        fx.RequestList(2, red.hold),
+        *gone,
+    ]
 
 
 def test_the_watch_goes_on_after_each_answer_and_one_call_is_out_at_a_time() -> None:
     red = reducer()
-    red.watch()  # the call at the start is still out
-    assert red.given() == []
-    asked = red.take(ev.Told(Listing(9, False, (), ())), 100.5)
-    assert asked == [fx.Ask(9, red.hold)]
-    failed = red.take(ev.ListFailed(), 101.0)
-    again = failed + [e for i in range(30) for e in red.take(ev.Tick(), 101 + i * 0.2)]
-    assert [(e.version, e.hold) for e in again if isinstance(e, fx.Ask)] == [(9, 0.0)]
+    red.watch_list()  # the call at the start is still out
+    assert red.take_effects() == []
+    asked = red.dispatch(ev.ListReceived(ServerList(9, False, (), ())), 100.5)
+    assert asked == [fx.RequestList(9, red.hold)]
+    failed = red.dispatch(ev.ListRequestFailed(), 101.0)
+    again = failed + [e for i in range(30) for e in red.dispatch(ev.TimerDue(), 101 + i * 0.2)]
+    assert [(e.version, e.wait) for e in again if isinstance(e, fx.RequestList)] == [(9, 0.0)]
 
 
 @pytest.mark.parametrize("took", [0.0, 0.5, 3.0, ANSWER])
@@ -185,41 +195,41 @@
     now = 101.0
     pauses: list[float] = []
     for _ in range(9):
-        (call,) = [e for e in red.take(ev.ListFailed(), now) if isinstance(e, fx.Ask)]
-        assert call.hold == 0.0
+        (call,) = [e for e in red.dispatch(ev.ListRequestFailed(), now) if isinstance(e, fx.RequestList)]
+        assert call.wait == 0.0
         if pauses:  # the call before went out `took` seconds ago
-            assert took + call.after + REACHED <= TOLD_WITHIN + 1e-9
-        pauses.append(call.after)
-        now += call.after + took
+            assert took + call.delay + REACHED <= TOLD_WITHIN + 1e-9
+        pauses.append(call.delay)
+        now += call.delay + took
     assert len(set(pauses)) == len(pauses)
     if took < 1.0:  # discovery that turns calls away at once is spared
         assert pauses[0] <= PAUSE_FIRST and sum(pauses[-4:]) / 4 > 2.0
-    red.take(ev.Told(Listing(9, False, (), ())), now)
-    (call,) = [e for e in red.take(ev.ListFailed(), now + 60.0) if isinstance(e, fx.Ask)]
-    assert 0.0 < call.after <= PAUSE_FIRST  # the watch broke: not all at one moment
+    red.dispatch(ev.ListReceived(ServerList(9, False, (), ())), now)
+    (call,) = [e for e in red.dispatch(ev.ListRequestFailed(), now + 60.0) if isinstance(e, fx.RequestList)]
+    assert 0.0 < call.delay <= PAUSE_FIRST  # the watch broke: not all at one moment
 
 
 def test_a_watch_that_falls_silent_is_noticed_within_the_ask_interval() -> None:
     # Guards against a list that stays as it was for tens of seconds while discovery says nothing.
     red = reducer()
-    assert 0 < red.hold + REACHED < red.balancer.ask_every
+    assert 0 < red.hold + REACHED < red.balancer.list_poll_interval
 
 
 def test_a_list_that_the_module_cannot_take_does_not_end_the_watch() -> None:
     red = reducer()
-    bad = Listing(9, False, (None,), ())  # type: ignore[arg-type]
+    bad = ServerList(9, False, (None,), ())  # type: ignore[arg-type]
     with pytest.raises(AttributeError):
-        red.take(ev.Told(bad), 100.5)
-    assert red.given() == [fx.Ask(9, red.hold)]
+        red.dispatch(ev.ListReceived(bad), 100.5)
+    assert red.take_effects() == [fx.RequestList(9, red.hold)]
 
 
 def test_a_timer_that_comes_early_is_set_again() -> None:
     # Guards against a loop whose clock is coarser than ours: a lost tick would stop all that is timed.
     red = reducer()
     due = red.wake_at
-    (wake,) = red.take(ev.Tick(), due - 0.001)
-    assert isinstance(wake, fx.Wake) and wake.delay == pytest.approx(0.001)
-    red.take(ev.Tick(), due)
+    (wake,) = red.dispatch(ev.TimerDue(), due - 0.001)
+    assert isinstance(wake, fx.SetTimer) and wake.delay == pytest.approx(0.001)
+    red.dispatch(ev.TimerDue(), due)
     assert red.wake_at > due
 
 
@@ -227,12 +237,12 @@
     red = reducer(may_probe=True)
     asked = arrive(red)
     assert isinstance(asked[0], fx.Probe)
-    got = red.take(ev.Probed(asked[0].server, "ok", {"load": 0.2}), 100.1)
+    got = red.dispatch(ev.ProbeEnded(asked[0].server, "ok", {"load": 0.2}), 100.1)
     assert isinstance(got[0], fx.Probe | fx.Connect)
-    red.take(ev.Weighed(1, Load(5e4)), 100.2)
-    assert red.clients[1].tun.load == pytest.approx(0.05)
-    red.take(ev.Probed("s1", "ok", {"load": 0.3}), 100.3)
-    assert red.balancer.servers["s1"].full_load == 0.3
+    red.dispatch(ev.LoadReported(1, Load(5e4)), 100.2)
+    assert red.clients[1].tunnel.load == pytest.approx(0.05)
+    red.dispatch(ev.ProbeEnded("s1", "ok", {"load": 0.3}), 100.3)
+    assert red.balancer.servers["s1"].reported_load == 0.3
 
 
 def test_a_planned_stop_moves_all_tunnels_before_the_process_may_be_killed() -> None:
@@ -240,16 +250,16 @@
     for client in range(7):
         opened(red, client)
     now, moved, late = 100.2, 0, None
-    red.take(ev.Stopping(), now)
+    red.dispatch(ev.StopRequested(), now)
     for _ in range(60):
         now += 0.1
-        got = red.take(ev.Stopping(), now)
-        moves = sum(isinstance(e, fx.Move) for e in got)
+        got = red.dispatch(ev.StopRequested(), now)
+        moves = sum(isinstance(e, fx.MigrateClient) for e in got)
         assert not moves or now - 100.2 >= ARRIVE_ON - 0.01  # those that still come might be sent back here
         moved += moves
         if moved and late is None:
-            late = red.take(ev.Arrived(99, opening()), now)
-        if any(isinstance(e, fx.Exit) for e in got):
+            late = red.dispatch(ev.ClientArrived(99, opening()), now)
+        if any(isinstance(e, fx.ExitProcess) for e in got):
             break
     assert moved == 7 and late == [fx.Reply(99, Decline(0.0))]
     assert now - 100.2 < 3.0 + 0.7
@@ -264,9 +274,9 @@
         for client in range(3):
             opened(red, client)
         for step in range(60):
-            got = red.take(ev.Stopping(), 100.2 + step * 0.1)
-            at += [step * 0.1] * sum(isinstance(e, fx.Move) for e in got)
-            if any(isinstance(e, fx.Exit) for e in got):
+            got = red.dispatch(ev.StopRequested(), 100.2 + step * 0.1)
+            at += [step * 0.1] * sum(isinstance(e, fx.MigrateClient) for e in got)
+            if any(isinstance(e, fx.ExitProcess) for e in got):
                 break
     assert len(at) == 120 and min(at) >= ARRIVE_ON - 0.01 and max(at) < 3.0 + 0.7 - LAST
     span = max(at) - ARRIVE_ON
@@ -277,26 +287,31 @@
 def test_a_stop_answers_what_is_still_being_set_up() -> None:
     red = reducer()
     arrive(red)
-    got = [e for i in range(60) for e in red.take(ev.Stopping(), 100.0 + i * 0.1)]
-    assert [e for e in got if isinstance(e, fx.Drop | fx.Reply)] == [fx.Drop(1, 0), fx.Reply(1, Decline(0.0))]
-    assert red.clients == {} and any(isinstance(e, fx.Exit) for e in got)
+    got = [e for i in range(60) for e in red.dispatch(ev.StopRequested(), 100.0 + i * 0.1)]
+    assert [e for e in got if isinstance(e, fx.AbandonSetup | fx.Reply)] == [
+        fx.AbandonSetup(1, 0),
+        fx.Reply(1, Decline(0.0)),
+    ]
+    assert red.clients == {} and any(isinstance(e, fx.ExitProcess) for e in got)
 
 
 def test_a_pushed_list_is_watched_from_the_start_and_asked_again_within_the_grace_of_a_telling() -> None:
     # Guards rule 3: what the agent has counts as told at once, whether or not a watch is open.
-    lines = tuple(Listed(f"s{i}", "active", 0, i, 0, 0.0, 1.0) for i in range(2))
-    known = Listing(7, True, lines, tuple((f"s{i}", "127.0.0.9", 9000 + i) for i in range(2)))
-    told = Start(
-        "n0", ("127.0.0.1", 1), ("127.0.0.1", 2), 5, site(may_probe=False, asks=False),
-        Names(("a",), ("k",)), ("chat",), ("acme",), 0.12, 256, known, stop_sending=0.4,
+    lines = tuple(ServerEntry(f"s{i}", "active", 0, i, 0, 0.0, 1.0) for i in range(2))
+    known = ServerList(7, True, lines, tuple((f"s{i}", "127.0.0.9", 9000 + i) for i in range(2)))
+    told = StartUpSettings(
+        "n0", ("127.0.0.1", 1), ("127.0.0.1", 2), 5, site(may_probe=False, list_is_polled=False),
+        Names(("a",), ("k",)), ("chat",), ("acme",), 0.12, 256, known, drain_grace=0.4,
     )  # fmt: skip
     red = Reducer(told, 100.0)
-    assert fx.Ask(7, 0.0) in red.given()
+    assert fx.RequestList(7, 0.0) in red.take_effects()
     for _ in range(5):
-        asks = [e for e in red.take(ev.ListFailed(), 101.0) if isinstance(e, fx.Ask)]
-        assert len(asks) == 1 and asks[0].after < 0.4
-    listing = Listing(8, False, (lines[0]._replace(state="leaving"),), ())
-    assert any(isinstance(e, fx.Ask) and e.hold > 0 for e in red.take(ev.Told(listing), 102.0))
+        asks = [e for e in red.dispatch(ev.ListRequestFailed(), 101.0) if isinstance(e, fx.RequestList)]
+        assert len(asks) == 1 and asks[0].delay < 0.4
+    listing = ServerList(8, False, (lines[0]._replace(state="leaving"),), ())
+    assert any(
+        isinstance(e, fx.RequestList) and e.wait > 0 for e in red.dispatch(ev.ListReceived(listing), 102.0)
+    )
     (connect,) = [e for e in arrive(red, now=102.0) if isinstance(e, fx.Connect)]
     assert connect.address == ("127.0.0.9", 9001)
 
@@ -305,11 +320,11 @@
     # What the new one has counts as told four seconds after the signal.
     red = reducer()
     for now in (100.1, 101.0, 103.0, 107.0, 113.0):
-        red.take(ev.ListFailed(), now)
+        red.dispatch(ev.ListRequestFailed(), now)
         red.asking = False
-    red.take(ev.Reloaded(("127.0.0.1", 3), Names(("a",), ("k",))), 120.0)
+    red.dispatch(ev.SettingsReloaded(("127.0.0.1", 3), Names(("a",), ("k",))), 120.0)
     now, calls = 120.0, 0
     while now < 124.0:
-        (ask,) = [e for e in red.take(ev.ListFailed(), now) if isinstance(e, fx.Ask)]
-        now, calls = now + ask.after, calls + 1
+        (ask,) = [e for e in red.dispatch(ev.ListRequestFailed(), now) if isinstance(e, fx.RequestList)]
+        now, calls = now + ask.delay, calls + 1
     assert calls >= 4
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -147,9 +147,9 @@
     ],
 )
 def test_a_faulty_scenario_is_named(told: dict[str, Any], path: str) -> None:
-    with pytest.raises(checked.Faulty) as found:
+    with pytest.raises(checked.InvalidFileError) as found:
         checked.convert({"name": "t", "about": "t"} | told, Scenario, "f")
-    assert [fault.path for fault in found.value.faults] == [path]
+    assert [fault.path for fault in found.value.problems] == [path]
 
 
 def test_recovery_is_told_from_the_seconds_of_service() -> None:
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -18,11 +18,11 @@
 from pointgw.__main__ import main
 from pointgw.faultbox.box import Box
 from pointgw.faultbox.script import Rule, Script
-from pointgw.net.memory.effects import Effect, Wake
-from pointgw.net.memory.events import Event, Tick
+from pointgw.net.memory.effects import Effect, SetTimer
+from pointgw.net.memory.events import Event, TimerDue
 from pointgw.net.run.log import KeyValue
-from pointgw.net.run.node import Node
-from pointgw.net.wire.start import start
+from pointgw.net.run.node import BalancerProcess
+from pointgw.net.wire.start import parse_start_up_file
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 OPEN = b"OPEN 9b1f 7f3a c=chat,t=acme,d=1500,g=5c0f\r\n"
@@ -101,7 +101,7 @@
 
 def with_node(
     play: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]],
-    scene: Callable[[Node, StandIn, Callable[[], Awaitable[Streams]]], Awaitable[None]],
+    scene: Callable[[BalancerProcess, StandIn, Callable[[], Awaitable[Streams]]], Awaitable[None]],
     way: Script | None = None,
 ) -> None:
     async def main() -> None:
@@ -114,8 +114,8 @@
         boxes = [Box(way, 1, ("127.0.0.1", ports[0])), Box(way, 1, door)] if way is not None else []
         if boxes:
             ports[0], door = (await boxes[0].start())[1], await boxes[1].start()
-        told_at_start = start(told(ports[0], ports[1], listen))
-        node = Node(told_at_start, asyncio.get_running_loop(), lambda: told_at_start)
+        told_at_start = parse_start_up_file(told(ports[0], ports[1], listen))
+        node = BalancerProcess(told_at_start, asyncio.get_running_loop(), lambda: told_at_start)
         serving = asyncio.create_task(node.serve())
         await asyncio.sleep(0.1)
         async with asyncio.timeout(10):
@@ -138,7 +138,7 @@
 
 
 def test_lines_pass_both_ways_and_the_clients_end_reaches_the_server(way: Script | None) -> None:
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await client()
         writer.write(b"PING\r\n")
         assert await reader.readline() == b"PONG\r\n"
@@ -147,7 +147,7 @@
         await asyncio.sleep(0.05)
         writer.write(b"lo\r\n")
         assert await reader.readline() == b"hello\r\n"
-        assert next(iter(node.reducer.clients.values())).tun.load == pytest.approx(500 / 1e6)
+        assert next(iter(node.reducer.clients.values())).tunnel.load == pytest.approx(500 / 1e6)
         assert there.lines[0].startswith(OPEN[:31]) and b"d=1500" not in there.lines[0]
         assert there.calls == 2 and there.probes >= 1
         writer.close()
@@ -164,7 +164,7 @@
         writer.write(b"UP r-1\r\nLOAD 500\r\n" + lines + b"BYE\r\n")
         await writer.drain()
 
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         reader, _ = await opened(client)
         await asyncio.sleep(0.3)
         (side,) = node.clients.values()
@@ -183,7 +183,7 @@
         assert await reader.read(-1) is not None
         gone.set()
 
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await opened(client)
         assert await reader.readline() == b"whole\r\n"
         writer.write(b"unread")  # Guards against a reset that takes the MOVE with it.
@@ -202,7 +202,7 @@
     async def bye(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"UP r-1\r\nLOAD 500\r\n" + last)
 
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         reader, _ = await opened(client)
         assert await reader.read(-1) == got
 
@@ -215,7 +215,7 @@
         await asyncio.sleep(0.1)
         writer.transport.abort()
 
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await opened(client)
         writer.write(b"x" * 100_000)  # unread at the server: its end is a reset
         with suppress(ConnectionResetError):
@@ -230,7 +230,7 @@
     async def nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(5)
 
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await client()
         writer.write(OPEN)
         began = node.now()
@@ -245,7 +245,7 @@
         writer.write(b"UP r-1\r\nLOAD 500\r\n")
         await asyncio.sleep(8)
 
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await opened(client)
         writer.write(b"anyone?\r\n")
         assert await reader.read(-1) == b"MOVE\r\n"
@@ -259,7 +259,7 @@
      b"PING\r\n" + OPEN, b"x" * 5_000_000],
 )  # fmt: skip
 def test_what_cannot_be_read_is_answered_with_an_error(line: bytes, way: Script | None) -> None:
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await client()
         writer.write(line)
         if not line.endswith(b"\n"):
@@ -274,7 +274,7 @@
     async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         assert await reader.read(-1) == b""
 
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await client()
         writer.write(OPEN)
         await asyncio.sleep(0.05)
@@ -288,7 +288,7 @@
 def test_clients_that_say_nothing_are_ended_by_the_clock_and_for_those_that_do_speak(
     way: Script | None,
 ) -> None:
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         node.first_within = 0.3
         reader, _ = await client()
         assert await reader.read(-1) == b"ERR\r\n"
@@ -307,7 +307,9 @@
     async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"BYE " + report + b"\r\n")
 
-    async def scene(node: Node, stand_in: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(
+        node: BalancerProcess, stand_in: StandIn, client: Callable[[], Awaitable[Streams]]
+    ) -> None:
         reader, writer = await client()
         writer.write(OPEN)
         await reader.readline()
@@ -318,12 +320,12 @@
 
 
 def test_a_reload_turns_to_another_discovery_and_ends_no_tunnel(tmp_path: Any, way: Script | None) -> None:
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await opened(client)
         other = StandIn(echo)
         server = await asyncio.start_server(other.discover, "127.0.0.1", 0)
         path = tmp_path / "config.json"
-        node.again = lambda: start(path.read_bytes())
+        node.read_settings = lambda: parse_start_up_file(path.read_bytes())
         path.write_bytes(b"{")
         os.kill(os.getpid(), signal.SIGHUP)  # guards against a file that can't be read: nothing changes
         await asyncio.sleep(0.1)
@@ -341,17 +343,17 @@
 
 def test_one_timer_is_out_at_a_time(way: Script | None) -> None:
     # Guards the CPU against timers that were overtaken and each set another.
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         ticks = 0
 
         def take(event: Event, now: float) -> list[Effect]:
             nonlocal ticks
-            ticks += isinstance(event, Tick)
+            ticks += isinstance(event, TimerDue)
             return []
 
-        node.reducer.take = take  # type: ignore[method-assign]
+        node.reducer.dispatch = take  # type: ignore[method-assign]
         for delay in (0.3, 0.2, 0.0, 0.1):
-            node._carry_out([Wake(delay)])
+            node._carry_out([SetTimer(delay)])
         await asyncio.sleep(0.4)
         assert ticks == 1
 
@@ -361,9 +363,9 @@
 def test_a_fault_of_the_decisions_ends_one_tunnel_and_not_the_balancer(
     monkeypatch: Any, way: Script | None
 ) -> None:
-    async def scene(node: Node, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
+    async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
         with monkeypatch.context() as patch:
-            patch.setattr(node.reducer.balancer, "arrived", lambda *_: 1 // 0)
+            patch.setattr(node.reducer.balancer, "tunnel_arrived", lambda *_: 1 // 0)
             reader, writer = await client()
             writer.write(OPEN)
             assert await reader.read(-1) == b"ERR\r\n"
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pointgw.interface import Listed
+from pointgw.interface import ServerEntry
 from pointgw.net.memory.start_times import StartTimes
 from pointgw.net.wire.listing import UNUSABLE
 
@@ -13,12 +13,12 @@
 HOUR = 3600.0
 
 
-def line(started: float, server: str = "s") -> Listed:
-    return Listed(server, "active", 0, 0, 0, started, 1.0)
+def line(started: float, server: str = "s") -> ServerEntry:
+    return ServerEntry(server, "active", 0, 0, 0, started, 1.0)
 
 
 def translated(times: StartTimes, started: float, now: float, wall: float, heard: bool = True) -> float:
-    return next(times.translate([line(started)], now, wall, heard)).started
+    return next(times.translate([line(started)], now, wall, heard)).started_at
 
 
 @pytest.mark.parametrize("step", [0.0, 5.0, -5.0, HOUR, -HOUR])
