--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -22,33 +22,33 @@
 from hypothesis import strategies as st
 
 from pointgw.__main__ import main
-from pointgw.interface import Listed
+from pointgw.interface import ServerEntry
 from pointgw.net.memory.effects import Connect
-from pointgw.net.memory.events import Arrived, Tick, Told
+from pointgw.net.memory.events import ClientArrived, ListReceived, TimerDue
 from pointgw.net.memory.reducer import Reducer
-from pointgw.net.run.remembering import Remembering, remind
+from pointgw.net.run.remembering import SnapshotRunner, restore_learned_state
 from pointgw.net.wire.lines import client_line
-from pointgw.net.wire.listing import Listing
-from pointgw.net.wire.start import Start, start
+from pointgw.net.wire.listing import ServerList
+from pointgw.net.wire.start import StartUpSettings, parse_start_up_file
 from pointgw.state import form
-from pointgw.state.facts import Fact, Figures, Health, Lives, Memory, State
-from pointgw.state.keeper import Keeper
+from pointgw.state.facts import LearnedFigures, ServerHealth, ServerLifetimes, ServerRecord, Snapshot, State
+from pointgw.state.keeper import SnapshotWriter
 from pointgw.state.merge import better, merge
-from pointgw.state.recall import Roster, recall, rows
-from pointgw.state.store import Owned, Store
-from pointgw.state.trust import Standing, life, standing, trust
+from pointgw.state.recall import MembershipView, restore, rows
+from pointgw.state.store import FolderInUseError, SnapshotStore
+from pointgw.state.trust import RecordStanding, life, standing, trust
 
 NOW = 1_000_000.0
 
 
 def fact(
     name: str = "s-1", state: State = "active", started: float = 10.0, at: float = NOW, **more: Any
-) -> Fact:
-    return Fact(name, state, started, at, more.pop("host", "127.0.0.1"), more.pop("port", 9), **more)
+) -> ServerRecord:
+    return ServerRecord(name, state, started, at, more.pop("host", "127.0.0.1"), more.pop("port", 9), **more)
 
 
-def memory(*facts: Fact, written: float = NOW, **more: Any) -> Memory:
-    return Memory("mark", written, 7, "127.0.0.1:1", False, facts or (fact(),), **more)
+def memory(*facts: ServerRecord, written: float = NOW, **more: Any) -> Snapshot:
+    return Snapshot("mark", written, 7, "127.0.0.1:1", False, facts or (fact(),), **more)
 
 
 # Bytes.
@@ -56,8 +56,8 @@
 
 def test_a_memory_is_the_same_after_bytes() -> None:
     told = memory(
-        fact(), fact("s-2", "left"), health=(Health("s-1", 10.0, 2, NOW + 3, 0.5, NOW),),
-        figures=Figures(0.5, 0.01, 3.0, 100.0, 4, 0.2), lives=Lives(3, 900.0),
+        fact(), fact("s-2", "left"), health=(ServerHealth("s-1", 10.0, 2, NOW + 3, 0.5, NOW),),
+        figures=LearnedFigures(0.5, 0.01, 3.0, 100.0, 4, 0.2), lives=ServerLifetimes(3, 900.0),
     )  # fmt: skip
     assert form.decode(form.encode(told)) == told
 
@@ -65,12 +65,12 @@
 def test_a_cut_at_every_byte_and_a_flip_of_every_bit_is_damage(capsys: Any) -> None:
     data = form.encode(memory(fact(), fact("s-2", "leaving")))
     for at in range(len(data)):
-        with pytest.raises(form.Damaged):
+        with pytest.raises(form.DamagedSnapshotError):
             form.decode(data[:at])
     for at, bit in itertools.product(range(len(data)), range(8)):
         flipped = bytearray(data)
         flipped[at] ^= 1 << bit
-        with pytest.raises(form.Damaged):
+        with pytest.raises(form.DamagedSnapshotError):
             form.decode(bytes(flipped))
     with capsys.disabled():
         print(f" [{len(data)} cuts and {8 * len(data)} flips]", end="")
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"\n", b"#!/bin/sh\n", b"pointgw-state 1\n", b"\xff" * 500])
 def test_files_of_others_are_damage(data: bytes) -> None:
-    with pytest.raises(form.Damaged):
+    with pytest.raises(form.DamagedSnapshotError):
         form.decode(data)
 
 
@@ -99,7 +99,7 @@
     points = 0
     for at in itertools.count():
         folder = str(tmp_path / str(at))
-        first = Store(folder)
+        first = SnapshotStore(folder)
         first.claim("n0")
         first.save(form.encode(old))
         first.save(form.encode(old))
@@ -118,16 +118,16 @@
         except Crash as crash:
             crashed = str(crash)
         first.release()
-        found = Store(folder).load()
-        assert found.memory in (old, new) and not found.lost
-        assert (found.memory == new) is (crashed in ("", "fsync folder", "unlink"))
+        found = SnapshotStore(folder).load()
+        assert found.snapshot in (old, new) and not found.lost
+        assert (found.snapshot == new) is (crashed in ("", "fsync folder", "unlink"))
         # The next process goes on from there.
-        again = Store(folder)
+        again = SnapshotStore(folder)
         again.claim("n0")
         again.load()
         again.save(form.encode(new))
         again.release()
-        assert Store(folder).load().memory == new
+        assert SnapshotStore(folder).load().snapshot == new
         points += 1
         if not crashed:
             break
@@ -138,54 +138,54 @@
 
 @pytest.mark.parametrize("harm", [b"", b"other\n", None])
 def test_damage_falls_back_to_the_newest_sound_generation(tmp_path: Path, harm: bytes | None) -> None:
-    store = Store(str(tmp_path / "s"))
+    store = SnapshotStore(str(tmp_path / "s"))
     store.claim("n0")
     for name in ("one", "two", "three"):
         store.save(form.encode(memory(fact(name))))
     newest = tmp_path / "s" / f"state.{store.generation}"
     newest.write_bytes(newest.read_bytes()[:-3] if harm is None else harm)
     found = store.load()
-    assert found.memory == memory(fact("two")) and len(found.lost) == 1 and newest.name in found.lost[0]
+    assert found.snapshot == memory(fact("two")) and len(found.lost) == 1 and newest.name in found.lost[0]
     store.save(form.encode(memory(fact("four"))))
-    assert Store(str(tmp_path / "s")).load().memory == memory(fact("four"))
+    assert SnapshotStore(str(tmp_path / "s")).load().snapshot == memory(fact("four"))
     assert stat.S_IMODE(newest.stat().st_mode) == 0o600 if newest.exists() else True
 
 
 def test_files_are_the_owners_alone_and_no_link_is_followed(tmp_path: Path) -> None:
-    store = Store(str(tmp_path / "s"))
+    store = SnapshotStore(str(tmp_path / "s"))
     store.claim("n0")
     store.save(form.encode(memory()))
     modes = {path.name: stat.S_IMODE(path.stat().st_mode) for path in (tmp_path / "s").iterdir()}
     assert modes == {"owner": 0o600, "state.1": 0o600}
     (tmp_path / "link").symlink_to(tmp_path / "s")
     with pytest.raises(OSError):
-        Store(str(tmp_path / "link")).load()
+        SnapshotStore(str(tmp_path / "link")).load()
     target = tmp_path / "elsewhere"
     target.write_bytes(form.encode(memory(fact("planted"))))
     (tmp_path / "s" / "state.9").symlink_to(target)
     found = store.load()
-    assert found.memory == memory() and len(found.lost) == 1
+    assert found.snapshot == memory() and len(found.lost) == 1
 
 
 def test_a_second_process_is_refused_by_name_of_the_first(tmp_path: Path) -> None:
-    first = Store(str(tmp_path))
+    first = SnapshotStore(str(tmp_path))
     first.claim("n0")
     code = (
-        "import sys; from pointgw.state.store import Owned, Store\n"
-        "try: Store(sys.argv[1]).claim('n1')\n"
-        "except Owned as fault: print(fault)"
+        "import sys; from pointgw.state.store import FolderInUseError, SnapshotStore\n"
+        "try: SnapshotStore(sys.argv[1]).claim('n1')\n"
+        "except FolderInUseError as fault: print(fault)"
     )
     command = [sys.executable, "-c", code, str(tmp_path)]
     told = subprocess.run(command, capture_output=True, text=True, check=True)
     assert told.stdout.startswith(f"n0 (process {os.getpid()}")
     first.release()
-    Store(str(tmp_path)).claim("n1")
+    SnapshotStore(str(tmp_path)).claim("n1")
 
 
 def test_a_newer_form_is_refused_and_left_untouched(tmp_path: Path, caplog: Any) -> None:
     (tmp_path / "state.3").write_bytes(newer())
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
-    assert Remembering.begin(str(tmp_path), started()) is None
+    assert SnapshotRunner.begin(str(tmp_path), started()) is None
     assert before["state.3"] == (tmp_path / "state.3").read_bytes()
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == ["left untouched"]
 
@@ -195,16 +195,16 @@
 
 def keeping(
     folder: Path, step: Any, scene: Any, news: Any = lambda: 1, facts: int = 1
-) -> tuple[Keeper, list[float]]:
+) -> tuple[SnapshotWriter, list[float]]:
     """A keeper on a store whose steps can be held or fail; gives how late the loop was."""
     lags: list[float] = []
 
-    async def run() -> Keeper:
+    async def run() -> SnapshotWriter:
         loop = asyncio.get_running_loop()
-        store = Store(str(folder), step)
+        store = SnapshotStore(str(folder), step)
         store.claim("n0")
         told = memory(*(fact(f"s-{i}") for i in range(facts)))
-        keeper = Keeper(store, lambda clean: msgspec.structs.replace(told, clean=clean), news, loop)
+        keeper = SnapshotWriter(store, lambda clean: msgspec.structs.replace(told, clean=clean), news, loop)
 
         async def look() -> None:
             while True:
@@ -226,7 +226,7 @@
         if name == "fsync":
             time.sleep(1.0)
 
-    async def scene(keeper: Keeper) -> None:
+    async def scene(keeper: SnapshotWriter) -> None:
         await asyncio.sleep(0.8)
 
     began = time.monotonic()
@@ -247,7 +247,7 @@
         if full and name == "write":
             raise OSError(code, os.strerror(code))
 
-    async def scene(keeper: Keeper) -> None:
+    async def scene(keeper: SnapshotWriter) -> None:
         nonlocal full
         await asyncio.sleep(2.2)
         full = False
@@ -258,13 +258,13 @@
     # On a machine whose disk is slow just then the last write may be late, which is said too.
     assert said[:2] == ["not written", "written again"] and set(said[2:]) <= {"last write late"}
     assert keeper.figures.failed >= 2
-    assert Store(str(tmp_path)).load().memory is not None
+    assert SnapshotStore(str(tmp_path)).load().snapshot is not None
 
 
 def test_a_folder_that_vanishes_costs_the_memory_and_nothing_else(tmp_path: Path, caplog: Any) -> None:
     count = itertools.count()
 
-    async def scene(keeper: Keeper) -> None:
+    async def scene(keeper: SnapshotWriter) -> None:
         await asyncio.sleep(0.6)
         assert keeper.figures.written == 1
         shutil.rmtree(tmp_path / "s")
@@ -278,12 +278,12 @@
 def test_writes_are_bounded_however_often_the_list_changes(tmp_path: Path) -> None:
     count = itertools.count()
 
-    async def scene(keeper: Keeper) -> None:
+    async def scene(keeper: SnapshotWriter) -> None:
         await asyncio.sleep(2.6)
 
     keeper, _ = keeping(tmp_path, lambda name: None, scene, lambda: next(count))
     assert 2 <= keeper.figures.written <= 6
-    found = Store(str(tmp_path)).load().memory
+    found = SnapshotStore(str(tmp_path)).load().snapshot
     assert found is not None and found.clean
 
 
@@ -292,30 +292,35 @@
 
 @pytest.mark.parametrize(
     ("age", "how"),
-    [(0.0, Standing.TRUSTED), (10.0, Standing.TRUSTED), (3600.0, Standing.TRUSTED),
-     (2 * 86400.0, Standing.DOUBTED), (7 * 86400.0, Standing.DOUBTED), (-3600.0, Standing.DOUBTED)],
+    [(0.0, RecordStanding.TRUSTED), (10.0, RecordStanding.TRUSTED), (3600.0, RecordStanding.TRUSTED),
+     (2 * 86400.0, RecordStanding.DOUBTED), (7 * 86400.0, RecordStanding.DOUBTED),
+     (-3600.0, RecordStanding.DOUBTED)],
 )  # fmt: skip
-def test_trust_falls_with_age_and_the_future_is_no_age(age: float, how: Standing) -> None:
-    assert standing(fact(at=NOW - age), Lives(), NOW) is how
+def test_trust_falls_with_age_and_the_future_is_no_age(age: float, how: RecordStanding) -> None:
+    assert standing(fact(at=NOW - age), ServerLifetimes(), NOW) is how
 
 
 def test_a_roster_whose_servers_live_short_is_doubted_sooner() -> None:
-    short = Lives(100, 100 * 600.0)
-    assert life(short) == 600.0 and life(Lives()) == 86400.0 and life(Lives(4, 0.0)) == 43200.0
-    assert standing(fact(at=NOW - 3600.0), short, NOW) is Standing.DOUBTED
-    assert standing(fact(at=NOW - 10.0), short, NOW) is Standing.TRUSTED
+    short = ServerLifetimes(100, 100 * 600.0)
+    assert (
+        life(short) == 600.0
+        and life(ServerLifetimes()) == 86400.0
+        and life(ServerLifetimes(4, 0.0)) == 43200.0
+    )
+    assert standing(fact(at=NOW - 3600.0), short, NOW) is RecordStanding.DOUBTED
+    assert standing(fact(at=NOW - 10.0), short, NOW) is RecordStanding.TRUSTED
     assert trust(fact(at=NOW - 3600.0, seen=NOW - 5.0), short, NOW) == 1.0  # own traffic has seen it since
 
 
 def test_what_was_told_away_has_none_whatever_its_age() -> None:
     for state in ("leaving", "left"):
-        assert standing(fact(state=state, at=NOW), Lives(), NOW) is Standing.REFUSED
+        assert standing(fact(state=state, at=NOW), ServerLifetimes(), NOW) is RecordStanding.REFUSED
 
 
 # Merging.
 
 facts_of_three = st.builds(
-    Fact,
+    ServerRecord,
     name=st.sampled_from(["a", "b", "c"]),
     state=st.sampled_from(["active", "leaving", "left"]),
     started=st.sampled_from([0.0, 1.0, 2.0]),
@@ -326,27 +331,29 @@
 )
 
 
-def oracle(facts: list[Fact], name: str) -> tuple[float, bool]:
+def oracle(facts: list[ServerRecord], name: str) -> tuple[float, bool]:
     """The latest process that was told of, and whether anybody told it away."""
     own = [f for f in facts if f.name == name]
     latest = max(f.started for f in own)
-    return latest, any(f.away for f in own if f.started == latest)
+    return latest, any(f.is_away for f in own if f.started == latest)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(facts_of_three, min_size=1, max_size=8), st.integers(0, 10_000))
-def test_the_order_of_arrival_changes_nothing_and_none_comes_back(facts: list[Fact], seed: int) -> None:
+def test_the_order_of_arrival_changes_nothing_and_none_comes_back(
+    facts: list[ServerRecord], seed: int
+) -> None:
     mixed = list(facts)
     Random(seed).shuffle(mixed)
     cut = seed % (len(mixed) + 1)
     whole = merge(facts)
     assert whole == merge(mixed) == merge(mixed[:cut], mixed[cut:]) == merge(mixed, facts)
     for name, won in whole.items():
-        assert (won.started, won.away) == oracle(facts, name)
+        assert (won.started, won.is_away) == oracle(facts, name)
 
 
 @given(facts_of_three, facts_of_three, facts_of_three)
-def test_the_better_of_facts_is_a_join(one: Fact, two: Fact, three: Fact) -> None:
+def test_the_better_of_facts_is_a_join(one: ServerRecord, two: ServerRecord, three: ServerRecord) -> None:
     one, two, three = (msgspec.structs.replace(f, name="a") for f in (one, two, three))
     assert better(one, one) == one and better(one, two) == better(two, one)
     assert better(better(one, two), three) == better(one, better(two, three))
@@ -355,7 +362,7 @@
 # What a balancer makes of it.
 
 
-def started(**more: Any) -> Start:
+def started(**more: Any) -> StartUpSettings:
     endpoints = [
         {"name": f"s-{i}", "address": f"127.0.0.1:{9000 + i}", "zone": "a", "type": "m", "group": 0,
          "status": "up", "weight": 1.0, "since_ms": 10_000}
@@ -371,31 +378,31 @@
             "report": {"fields": ["x0"]},
         },
     } | more  # fmt: skip
-    return start(json.dumps(told).encode())
+    return parse_start_up_file(json.dumps(told).encode())
 
 
-def line(name: str, state: str = "active", began: float = 10.0) -> Listed:
-    return Listed(name, state, 0, 0, 0, began, 1.0)  # type: ignore[arg-type]
+def line(name: str, state: str = "active", began: float = 10.0) -> ServerEntry:
+    return ServerEntry(name, state, 0, 0, 0, began, 1.0)  # type: ignore[arg-type]
 
 
 def remembering(
-    folder: Path, *facts: Fact, written: float | None = None, run: str = "one"
-) -> tuple[Reducer, Remembering]:
+    folder: Path, *facts: ServerRecord, written: float | None = None, run: str = "one"
+) -> tuple[Reducer, SnapshotRunner]:
     """`run`: of the machine when the memory was written; it is "one" now."""
     now = time.time()
     boot = folder / "boot"
     boot.write_text("one\n")
     if facts:
-        mark = Remembering.begin(str(folder), started(), str(boot))
+        mark = SnapshotRunner.begin(str(folder), started(), str(boot))
         assert mark is not None
         told = memory(*facts, written=now if written is None else written)
         mark.store.save(form.encode(msgspec.structs.replace(told, fingerprint=mark.fingerprint, run=run)))
         mark.store.release()
-    made = Remembering.begin(str(folder), started(), str(boot))
+    made = SnapshotRunner.begin(str(folder), started(), str(boot))
     assert made is not None
-    reducer = Reducer(started(), now, roster=made.roster, recalled=made.recalled)
-    if made.recalled is not None:
-        remind(reducer.balancer, made.recalled, now)
+    reducer = Reducer(started(), now, membership=made.membership, recalled=made.restored)
+    if made.restored is not None:
+        restore_learned_state(reducer.balancer, made.restored, now)
     return reducer, made
 
 
@@ -404,9 +411,9 @@
     ports, now = set(), time.time()
     for i in range(count):
         opening = client_line(b"OPEN %d k%d c=chat,d=1500" % (i, i))
-        effects = reducer.take(Arrived(i, opening), now)  # type: ignore[arg-type]
+        effects = reducer.dispatch(ClientArrived(i, opening), now)  # type: ignore[arg-type]
         ports |= {effect.address[1] for effect in effects if isinstance(effect, Connect)}
-    for effect in reducer.take(Tick(), now + 0.2):
+    for effect in reducer.dispatch(TimerDue(), now + 0.2):
         ports |= {effect.address[1]} if isinstance(effect, Connect) else set()
     return ports
 
@@ -418,14 +425,14 @@
     away = fact("s-1", "leaving", at=now - 60.0, port=9001)
     sure = [fact(f"s-{i}", at=now, port=9000 + i) for i in (0, 2)]
     reducer, made = remembering(tmp_path, away, *sure)
-    assert made.recalled is not None and made.recalled.counts == {"trusted": 2, "refused": 1}
+    assert made.restored is not None and made.restored.counts == {"trusted": 2, "refused": 1}
     for ep in reducer.balancer.servers.values():
         ep.asked_at = now
     assert connects(reducer) == {9000, 9002}
     # Discovery says up again of the same process: rule 3 wins; of a later one: it is used.
-    reducer.take(Told(Listing(5, False, (line("s-1"),), ())), now)
+    reducer.dispatch(ListReceived(ServerList(5, False, (line("s-1"),), ())), now)
     assert not reducer.balancer.servers["s-1"].active
-    reducer.take(Told(Listing(6, False, (line("s-1", began=now),), ())), now)
+    reducer.dispatch(ListReceived(ServerList(6, False, (line("s-1", began=now),), ())), now)
     assert reducer.balancer.servers["s-1"].active
 
 
@@ -433,17 +440,17 @@
     now = time.time()
     old = [fact(f"s-{i}", at=now - 7 * 86400.0, port=9000 + i) for i in range(3)]
     reducer, made = remembering(tmp_path, *old, written=now - 7 * 86400.0)
-    assert made.recalled is not None and made.recalled.counts == {"doubted": 3}
+    assert made.restored is not None and made.restored.counts == {"doubted": 3}
     servers = reducer.balancer.servers
-    assert all(ep.doubted for ep in servers.values())
+    assert all(ep.stale for ep in servers.values())
     for ep in servers.values():
         ep.asked_at = now
     connects(reducer)
-    assert all(ep.trying <= 1 for ep in servers.values())
-    reducer.balancer.probed(servers["s-0"], "ok", {"load": 0.1}, now)
-    assert not servers["s-0"].doubted and servers["s-1"].doubted
-    reducer.take(Told(Listing(5, True, tuple(line(f"s-{i}") for i in range(2)), ())), now)
-    assert not servers["s-1"].doubted and not servers["s-2"].active
+    assert all(ep.pending_setups <= 1 for ep in servers.values())
+    reducer.balancer.probe_ended(servers["s-0"], "ok", {"load": 0.1}, now)
+    assert not servers["s-0"].stale and servers["s-1"].stale
+    reducer.dispatch(ListReceived(ServerList(5, True, tuple(line(f"s-{i}") for i in range(2)), ())), now)
+    assert not servers["s-1"].stale and not servers["s-2"].active
 
 
 def test_suspensions_budgets_and_figures_come_back(tmp_path: Path) -> None:
@@ -451,29 +458,33 @@
     reducer, made = remembering(tmp_path)
     balancer = reducer.balancer
     ep = balancer.servers["s-1"]
-    ep.strikes, ep.out_until, ep.budget = 3, now + 5.0, -2.0
-    balancer.c, balancer.load_unit, balancer.cold_gain = 0.4, 0.012, 0.3
-    made.keep(reducer, loop := asyncio.new_event_loop())
-    assert made.keeper is not None
-    made.roster.confirm(now)
-    told = made.keeper.take(False)
+    ep.recent_failures, ep.ejected_until, ep.slow_start_budget = 3, now + 5.0, -2.0
+    balancer.c, balancer.load_per_tunnel, balancer.slow_start_rate = 0.4, 0.012, 0.3
+    made.start(reducer, loop := asyncio.new_event_loop())
+    assert made.writer is not None
+    made.membership.confirm(now)
+    told = made.writer.take(False)
     made.store.save(form.encode(told))
     made.store.release()
     loop.close()
     again, _ = remembering(tmp_path)
     back = again.balancer.servers["s-1"]
-    assert (back.strikes, back.out_until, back.budget) == (3, now + 5.0, -2.0)
-    assert (again.balancer.c, again.balancer.load_unit, again.balancer.cold_gain) == (0.4, 0.012, 0.3)
+    assert (back.recent_failures, back.ejected_until, back.slow_start_budget) == (3, now + 5.0, -2.0)
+    assert (again.balancer.c, again.balancer.load_per_tunnel, again.balancer.slow_start_rate) == (
+        0.4,
+        0.012,
+        0.3,
+    )
 
 
 def test_another_installations_memory_is_refused_and_left(tmp_path: Path, caplog: Any) -> None:
-    store = Store(str(tmp_path))
+    store = SnapshotStore(str(tmp_path))
     store.claim("n9")
     store.save(form.encode(memory()))
     store.release()
-    assert Remembering.begin(str(tmp_path), started()) is None
+    assert SnapshotRunner.begin(str(tmp_path), started()) is None
     assert "left untouched" in [record.getMessage() for record in caplog.records]
-    assert Store(str(tmp_path)).load().memory == memory()
+    assert SnapshotStore(str(tmp_path)).load().snapshot == memory()
 
 
 def test_a_second_restart_before_the_first_wrote_finds_the_same(tmp_path: Path) -> None:
@@ -482,28 +493,28 @@
     _, first = remembering(tmp_path, away)
     first.store.release()
     reducer, second = remembering(tmp_path)
-    assert second.recalled is not None and not reducer.balancer.servers["s-1"].active
+    assert second.restored is not None and not reducer.balancer.servers["s-1"].active
 
 
 def test_a_replaced_server_at_the_same_address_is_another_one() -> None:
-    roster = Roster()
-    roster.hear([line("s-1")], [("s-1", "127.0.0.1", 9)], True, NOW)
-    roster.hear([line("s-2", began=50.0)], [("s-2", "127.0.0.1", 9)], True, NOW + 100)
+    roster = MembershipView()
+    roster.apply_list([line("s-1")], [("s-1", "127.0.0.1", 9)], True, NOW)
+    roster.apply_list([line("s-2", began=50.0)], [("s-2", "127.0.0.1", 9)], True, NOW + 100)
     assert [(f.name, f.state) for f in roster.kept(NOW + 100)] == [("s-1", "left"), ("s-2", "active")]
     assert roster.lives.ended == 1 and roster.lives.total == pytest.approx(NOW + 90)
 
 
 def test_ten_thousand_servers_with_two_hundred_changes_a_second_stay_bounded() -> None:
-    roster = Roster()
+    roster = MembershipView()
     names = [f"s-{i:05d}" for i in range(10_000)]
-    roster.hear([line(name) for name in names], [(n, "127.0.0.1", 9) for n in names], True, NOW)
+    roster.apply_list([line(name) for name in names], [(n, "127.0.0.1", 9) for n in names], True, NOW)
     began = time.perf_counter()
     for second in range(10):
         changed = names[200 * second : 200 * second + 200]
-        roster.hear([line(name, "left", 0.0) for name in changed], [], False, NOW + second)
+        roster.apply_list([line(name, "left", 0.0) for name in changed], [], False, NOW + second)
     took = time.perf_counter() - began
-    assert roster.news == 12_000 and took < 2.0
-    assert sum(f.away for f in roster.kept(NOW + 10)) == 2000
+    assert roster.change_count == 12_000 and took < 2.0
+    assert sum(f.is_away for f in roster.kept(NOW + 10)) == 2000
     told = memory(*roster.kept(NOW + 10))
     assert len(form.encode(told)) < 1_500_000
     # Told away without a start, each is remembered with the one that was known.
@@ -511,14 +522,14 @@
 
 
 def test_what_was_told_away_long_ago_is_forgotten() -> None:
-    roster = Roster({"s-1": fact(state="left", at=NOW)})
+    roster = MembershipView({"s-1": fact(state="left", at=NOW)})
     assert roster.kept(NOW + 3600.0) and not roster.kept(NOW + 8 * 86400.0)
 
 
 def test_the_commands_tell_age_trust_and_damage(tmp_path: Path, capfd: Any) -> None:
     folder = str(tmp_path / "s")
     assert main(["state", "check", folder]) == 1
-    store = Store(folder)
+    store = SnapshotStore(folder)
     store.claim("n0")
     now = time.time()
     told = memory(fact("s-1", at=now - 40), fact("s-2", "left", at=now), written=now)
@@ -536,13 +547,13 @@
 
 def test_rows_say_why() -> None:
     assert [row["standing"] for row in rows(memory(fact(), fact("b", "left")), NOW)] == ["trusted", "refused"]
-    assert recall(memory(), [], "another", NOW) is None
+    assert restore(memory(), [], "another", NOW) is None
 
 
 def test_owned_is_told_by_name(tmp_path: Path) -> None:
-    first, second = Store(str(tmp_path)), Store(str(tmp_path))
+    first, second = SnapshotStore(str(tmp_path)), SnapshotStore(str(tmp_path))
     first.claim("n0")
-    with pytest.raises(Owned, match="n0"):
+    with pytest.raises(FolderInUseError, match="n0"):
         second.claim("n1")
     first.release()
 
@@ -552,11 +563,16 @@
     wall, behind = time.time(), 3600.0
     reducer, made = remembering(tmp_path, fact("s-1", at=wall - behind, port=9001))
     ep = reducer.balancer.servers["s-1"]
-    ep.doubted, ep.strikes, ep.out_until, ep.budget_at = False, 3, wall - behind + 5.0, wall - behind
-    made.keep(reducer, loop := asyncio.new_event_loop(), lambda: time.time() - behind)
-    assert made.keeper is not None
-    made.roster.confirm(wall - behind)
-    told = made.keeper.take(False)
+    ep.stale, ep.recent_failures, ep.ejected_until, ep.budget_updated_at = (
+        False,
+        3,
+        wall - behind + 5.0,
+        wall - behind,
+    )
+    made.start(reducer, loop := asyncio.new_event_loop(), lambda: time.time() - behind)
+    assert made.writer is not None
+    made.membership.confirm(wall - behind)
+    told = made.writer.take(False)
     loop.close()
     made.store.release()
     assert [round(one.out_until - wall) for one in told.health] == [5]
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -23,16 +23,16 @@
 from pointgw.net.run import tiering
 from pointgw.tier import given as tier_given
 from pointgw.tier import plan, wire
-from pointgw.tier.accord import Accord
-from pointgw.tier.facts import EYES, KEPT, Seen, Zone
+from pointgw.tier.accord import Agreement
+from pointgw.tier.facts import EYES, KEPT, Zone, ZoneObservation
 from pointgw.tier.members import Members, State
-from pointgw.tier.plan import Kind, Plan, Ways
-from pointgw.tier.run import Voice
-from pointgw.tier.wire import Keys, Packet, Refused
+from pointgw.tier.plan import Plan, ProfileCosts, RegionLinks
+from pointgw.tier.run import ClusterTransport
+from pointgw.tier.wire import Keys, Packet, RefusedDatagramError
 from tier_world import KEY, KINDS, World
 
 OLD_KEY = b"o" * 32
-THREE = Ways((0, 0, 1), {}, {})
+THREE = RegionLinks((0, 0, 1), {}, {})
 
 
 def packet(**changes: Any) -> Packet:
@@ -56,18 +56,18 @@
 def test_every_cut_length_and_every_flipped_bit_is_refused_with_a_word() -> None:
     data = Keys((KEY,)).sign(packet())
     for length in range(len(data)):
-        with pytest.raises(Refused):
+        with pytest.raises(RefusedDatagramError):
             Keys((KEY,)).open(data[:length])
     for bit in range(8 * len(data)):
         spoilt = bytearray(data)
         spoilt[bit // 8] ^= 1 << bit % 8
-        with pytest.raises(Refused):
+        with pytest.raises(RefusedDatagramError):
             Keys((KEY,)).open(bytes(spoilt))
 
 
 @pytest.mark.parametrize("keys", [(), (OLD_KEY,)])
 def test_another_key_or_none_tells_nothing(keys: tuple[bytes, ...]) -> None:
-    with pytest.raises(Refused):
+    with pytest.raises(RefusedDatagramError):
         Keys(keys).open(Keys((KEY,)).sign(packet()))
 
 
@@ -77,7 +77,7 @@
 )
 def test_a_signed_body_out_of_bounds_is_malformed_and_no_traceback(body: bytes) -> None:
     head = wire.MAGIC + bytes((wire.VERSION, wire._which(KEY)))
-    with pytest.raises(Refused, match="malformed"):
+    with pytest.raises(RefusedDatagramError, match="malformed"):
         Keys((KEY,)).open(head + wire._signature(KEY, head, body) + body)
 
 
@@ -144,7 +144,7 @@
     before = {n: dict(node.facts.held) for n, node in world.nodes.items()}
     heard = {n: node.figures["heard"] for n, node in world.nodes.items()}
     for to, data in old + recorded[-80:-40]:  # the last are still under way
-        world.nodes[to].hears(data, world.now)
+        world.nodes[to].receive(data, world.now)
     assert world.closed() == {0}
     assert {n: node.figures["heard"] for n, node in world.nodes.items()} == heard
     assert {n: dict(node.facts.held) for n, node in world.nodes.items()} == before
@@ -157,7 +157,7 @@
     asked = msgspec.structs.replace(
         node.members._packet(wire.HELLO, 1), sender=1, to=0, run=node.members.others[1].run, known=9
     )
-    sent = sum(len(node.hears(Keys((KEY,)).sign(asked), world.now)) for _ in range(1000))
+    sent = sum(len(node.receive(Keys((KEY,)).sign(asked), world.now)) for _ in range(1000))
     assert sent <= 40 and node.figures["over the ceiling"] >= 960
 
 
@@ -203,8 +203,8 @@
 
 
 def test_a_profile_goes_no_way_that_its_setup_goal_cannot_bear() -> None:
-    far = Ways((0, 0, 1), {}, {(0, 1): 0.2})
-    made = plan.make((zone(0.0, 9.0), zone(8.0, 3.0), zone(8.0, 1.0)), (Kind(1.0, 0.3),), far)
+    far = RegionLinks((0, 0, 1), {}, {(0, 1): 0.2})
+    made = plan.make((zone(0.0, 9.0), zone(8.0, 3.0), zone(8.0, 1.0)), (ProfileCosts(1.0, 0.3),), far)
     assert made.shares[0][0][2] == 0.0 and made.shares[0][0][1] > 0.0
 
 
@@ -229,7 +229,7 @@
 ) -> None:
     zones = tuple(zone(room, *need) for room, *need in told)
     closed &= (1 << len(zones)) - 1
-    ways = Ways(tuple(z // 2 for z in range(len(zones))), {}, {})
+    ways = RegionLinks(tuple(z // 2 for z in range(len(zones))), {}, {})
     made = plan.make(zones, KINDS, ways, closed)
     assert made == plan.make(zones, KINDS, ways, closed)
     need, bears = plan.bears(zones, closed)
@@ -353,15 +353,17 @@
     world.run(8.0)
     rng = Random(3)
     for n, closed in ((0, 1), (4, 2)):
-        accord = world.nodes[n].accord
+        accord = world.nodes[n].agreement
         accord.wait_until = 0.0
         accord._take(wire.Vote(1, n, closed, bytes((1 << n,))), world.now)
     for _ in range(200):
         a, b = rng.sample(range(5), 2)
-        told = world.nodes[a].accord.tells()
+        told = world.nodes[a].agreement.tells()
         if told is not None:
-            world.nodes[b].accord.hear(told, world.now)
-    agreed = {node.accord.agreed.closed for node in world.nodes.values() if node.accord.agreed is not None}
+            world.nodes[b].agreement.receive_vote(told, world.now)
+    agreed = {
+        node.agreement.agreed.closed for node in world.nodes.values() if node.agreement.agreed is not None
+    }
     assert len(agreed) <= 1
 
 
@@ -382,13 +384,13 @@
     world.run(6.0)
     nodes = list(world.nodes.values())
     for n, node in enumerate(nodes):
-        node.accord._take(wire.Vote(1, n % 2, 1, bytes((1 << n,))), world.now)
+        node.agreement._take(wire.Vote(1, n % 2, 1, bytes((1 << n,))), world.now)
     for node in nodes:
         for other in nodes:
-            told = other.accord.tells()
+            told = other.agreement.tells()
             assert told is not None
-            node.accord.hear(told, world.now)
-    assert {node.accord.closed for node in nodes} == {1}
+            node.agreement.receive_vote(told, world.now)
+    assert {node.agreement.closed for node in nodes} == {1}
 
 
 def test_a_zones_room_is_held_of_few_and_the_newest() -> None:
@@ -403,8 +405,8 @@
 
 def test_one_that_has_just_started_promises_nothing() -> None:
     members = Members(0, 3, 0, 1, 1, Random(1), 0.25)
-    accord = Accord(members, Random(1), 100.0)
-    accord.hear(wire.Vote(1, 1, 1, b"\x02"), 101.0)
+    accord = Agreement(members, Random(1), 100.0)
+    accord.receive_vote(wire.Vote(1, 1, 1, b"\x02"), 101.0)
     assert accord.vote is not None and accord.vote.promised == b"\x02"
     accord.propose(2, 101.0)
     assert accord.vote.leader == 1
@@ -412,7 +414,7 @@
 
 # What operators write.
 
-SECTION = operators.Tier(regions={"north": ("a", "b"), "south": ("c",)})
+SECTION = operators.TierSection(regions={"north": ("a", "b"), "south": ("c",)})
 PROFILES = (Profile("repeatable", "all", 5.0, 0.3, 1.8, 2.0),)
 
 
@@ -421,16 +423,16 @@
     [
         ({"regions": {"north": ("a", "x")}}, "tier.regions.north"),
         ({"regions": {"north": ("a",), "south": ("a",)}}, "tier.regions.south"),
-        ({"ways": (operators.Way(("north", "west")),)}, "tier.ways[0].between"),
+        ({"ways": (operators.LinkSection(("north", "west")),)}, "tier.ways[0].between"),
         ({"evacuate": ("d",)}, "tier.evacuate"),
         ({"evacuate": ("a", "b", "c")}, "tier.evacuate"),
     ],
 )
 def test_a_faulty_section_is_named(changes: dict[str, Any], path: str) -> None:
     section = msgspec.structs.replace(SECTION, **changes)
-    with pytest.raises(checked.Faulty) as faulty:
-        tier_given.told(section, ("a", "b", "c"), 0, PROFILES, 0, 6)
-    assert [fault.path for fault in faulty.value.faults] == [path]
+    with pytest.raises(checked.InvalidFileError) as faulty:
+        tier_given.cluster_settings(section, ("a", "b", "c"), 0, PROFILES, 0, 6)
+    assert [fault.path for fault in faulty.value.problems] == [path]
 
 
 @pytest.mark.parametrize(
@@ -444,11 +446,11 @@
     path = tmp_path / "key"
     path.write_text(text)
     path.chmod(mode)
-    with pytest.raises(checked.Faulty, match=says):
-        tier_given.keys(str(path))
+    with pytest.raises(checked.InvalidFileError, match=says):
+        tier_given.read_keys(str(path))
     path.chmod(0o600)
     path.write_text("00" * 16 + "\n" + "11" * 16)
-    assert len(tier_given.keys(str(path)).keys) == 2
+    assert len(tier_given.read_keys(str(path)).keys) == 2
 
 
 def test_states_of_a_member_change_in_one_place() -> None:
@@ -468,7 +470,7 @@
         world = World(6)
         world.run(8.0)
         if lies:
-            world.says[5] = tuple(Seen(lie, 8.0, 3.0, 10**6, (10**6, 10**6)) for _ in range(3))
+            world.says[5] = tuple(ZoneObservation(lie, 8.0, 3.0, 10**6, (10**6, 10**6)) for _ in range(3))
         else:
             del world.nodes[5]
         world.run(8.0)
@@ -518,8 +520,10 @@
 
     async def write() -> float:
         loop, tier = asyncio.get_running_loop(), World(3).nodes[0]
-        ways = tiering.Tiering(tier.told, tier.keys, (), ("", 0), str(status), ("a", "b", "c"), ("x", "y"))
-        ways.voice = Voice(tier, (), loop, lambda now: None, lambda now: None)
+        ways = tiering.ClusterRunner(
+            tier.settings, tier.keys, (), ("", 0), str(status), ("a", "b", "c"), ("x", "y")
+        )
+        ways.transport = ClusterTransport(tier, (), loop, lambda now: None, lambda now: None)
         began = loop.time()
         ways._write(0.0)
         took = loop.time() - began
@@ -538,9 +542,9 @@
     # in the other zones promised that vote, and their own zones were agreed to be closed.
     world = World(6)
     world.run(4.0)  # so that all know of each other: two of six are no majority
-    accord, now = world.nodes[1].accord, world.now
+    accord, now = world.nodes[1].agreement, world.now
     accord.started, accord.stands = -100.0, stands
-    accord.hear(wire.Vote(1, 0, 0b110, b"\x01"), now)
+    accord.receive_vote(wire.Vote(1, 0, 0b110, b"\x01"), now)
     assert accord.vote is not None and (accord.vote.promised == b"\x03") is promises
     accord.stands = 0  # they are seen to be gone
     accord.look(now)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,10 +12,10 @@
     UNUSABLE,
     Names,
     Response,
-    body,
-    request,
+    list_request,
+    parse_server_list_body,
 )
-from pointgw.net.wire.start import flat, start
+from pointgw.net.wire.start import flat, parse_start_up_file
 from pointgw.site import Malformed
 
 OPEN = b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,again=1"
@@ -28,10 +28,10 @@
 
 def test_a_first_line_is_decoded() -> None:
     opening = lines.client_line(OPEN)
-    assert isinstance(opening, lines.Opening)
-    got = (opening.name, opening.key, opening.profile, opening.tenant, opening.group, opening.at)
+    assert isinstance(opening, lines.OpenRequest)
+    got = (opening.name, opening.key, opening.profile, opening.tenant, opening.group, opening.current_server)
     assert got == ("9b1f", "7f3a", "chat", "acme", "5c0f", "")
-    assert (opening.patience, opening.back) == (2.0, True)
+    assert (opening.remaining_time, opening.is_returning) == (2.0, True)
 
 
 @pytest.mark.parametrize(
@@ -48,8 +48,8 @@
     line: bytes, patience: float | None, sent: bytes
 ) -> None:
     opening = lines.client_line(line)
-    assert isinstance(opening, lines.Opening)
-    assert lines.opening_line(opening, patience) == sent
+    assert isinstance(opening, lines.OpenRequest)
+    assert lines.open_request_line(opening, patience) == sent
 
 
 BAD_FIELDS = (b"", b"c", b"=a", b"c=a,,t=b", b"c=a,c=b", b" d=5", b"c=\x00", b"\xff")
@@ -71,15 +71,15 @@
     ("line", "message"),
     [
         (b"UP r-1", lines.Up(b"UP r-1\r\n")),
-        (b"BUSY", lines.Closing("full", {})),
-        (b"ERR inflight=7,util=0.61", lines.Closing("error", {"connections": 7.0, "util": 0.61})),
-        (b"BYE x0=nonsense", lines.Closing("ok", {}, True)),
-        (b"MOVE", lines.Closing("cancelled", {})),
+        (b"BUSY", lines.EndLine("full", {})),
+        (b"ERR inflight=7,util=0.61", lines.EndLine("error", {"connections": 7.0, "util": 0.61})),
+        (b"BYE x0=nonsense", lines.EndLine("ok", {}, True)),
+        (b"MOVE", lines.EndLine("cancelled", {})),
         (b"LOAD 51078.5", lines.Load(51078.5)),
         (b"LOAD x", None),
         (b"LOAD nan", None),
         (b"LOAD -5", None),
-        (b"BYE x0=-1", lines.Closing("ok", {}, True)),
+        (b"BYE x0=-1", lines.EndLine("ok", {}, True)),
         (b"BYELAW", None),
     ],
 )
@@ -90,14 +90,14 @@
 @pytest.mark.parametrize(
     ("line", "closing"),
     [
-        (b"PONG busy=0.5,x0=0.4", lines.Closing("ok", {"util": 0.5, "load": 0.4})),
-        (b"ERR", lines.Closing("error", {})),
-        (b"PONG x0=inf", lines.Closing("ok", {}, True)),
-        (b"PONG x0=-0.5", lines.Closing("ok", {}, True)),
-        (b"NO", lines.Closing("error", {})),
+        (b"PONG busy=0.5,x0=0.4", lines.EndLine("ok", {"util": 0.5, "load": 0.4})),
+        (b"ERR", lines.EndLine("error", {})),
+        (b"PONG x0=inf", lines.EndLine("ok", {}, True)),
+        (b"PONG x0=-0.5", lines.EndLine("ok", {}, True)),
+        (b"NO", lines.EndLine("error", {})),
     ],
 )
-def test_the_answer_to_a_probe_is_decoded(line: bytes, closing: lines.Closing) -> None:
+def test_the_answer_to_a_probe_is_decoded(line: bytes, closing: lines.EndLine) -> None:
     assert lines.probe_line(line) == closing
 
 
@@ -119,11 +119,15 @@
 
 
 def test_a_list_is_decoded() -> None:
-    told = body(json.dumps({"index": 43, "snapshot": False, "endpoints": [ENTRY]}).encode(), NAMES)
-    assert (told.index, told.whole, told.addresses) == (43, False, (("s-1", "127.1.0.18", 8443),))
+    told = parse_server_list_body(
+        json.dumps({"index": 43, "snapshot": False, "endpoints": [ENTRY]}).encode(), NAMES
+    )
+    assert (told.index, told.is_full, told.addresses) == (43, False, (("s-1", "127.1.0.18", 8443),))
     assert told.servers[0] == ("s-1", "leaving", 1, 3, 1, 2.5, 1.5)
     later = [ENTRY | {"status": "resting"}, ENTRY | {"zone": "z", "type": "m9", "more": 1}]
-    told = body(json.dumps({"index": 44, "snapshot": True, "endpoints": later}).encode(), NAMES)
+    told = parse_server_list_body(
+        json.dumps({"index": 44, "snapshot": True, "endpoints": later}).encode(), NAMES
+    )
     assert [(s.state, s.zone, s.kind) for s in told.servers] == [("leaving", 1, 1), ("leaving", -1, -1)]
 
 
@@ -140,7 +144,7 @@
 )
 def test_a_bad_list_is_refused(data: bytes) -> None:
     with pytest.raises(Malformed):
-        body(data, NAMES)
+        parse_server_list_body(data, NAMES)
 
 
 def test_an_answer_of_discovery_may_come_in_pieces() -> None:
@@ -185,7 +189,9 @@
     entry: str, read: tuple[object, ...] | None
 ) -> None:
     sound = '{"name":"t","status":"draining","address":"127.0.0.1:7"}'
-    told = body(f'{{"index":1,"snapshot":true,"endpoints":[{entry},{sound}]}}'.encode(), Names((), ()))
+    told = parse_server_list_body(
+        f'{{"index":1,"snapshot":true,"endpoints":[{entry},{sound}]}}'.encode(), Names((), ())
+    )
     assert told.unusable == 1 and told.addresses == (("t", "127.0.0.1", 7),)
     assert told.servers[-1].state == "leaving" and told.servers[-1].server == "t"
     assert told.servers[:-1] == (() if read is None else (read,))
@@ -195,7 +201,7 @@
     ("after", "path"), [(None, "/registry/instances"), (41, "/registry/instances?from=41&hold_ms=20000")]
 )
 def test_a_call_to_discovery(after: int | None, path: str) -> None:
-    assert request("127.0.0.1:8500", after, 20.0).startswith(f"GET {path} HTTP/1.1\r\nHost: ".encode())
+    assert list_request("127.0.0.1:8500", after, 20.0).startswith(f"GET {path} HTTP/1.1\r\nHost: ".encode())
 
 
 def test_nested_settings_become_fields() -> None:
@@ -207,4 +213,4 @@
 @pytest.mark.parametrize("data", [b"", b"{}", b'{"settings":{}}'])
 def test_a_bad_start_is_refused(data: bytes) -> None:
     with pytest.raises(Malformed):
-        start(data)
+        parse_start_up_file(data)
--- a/tests/tier_world.py
+++ b/tests/tier_world.py
@@ -7,13 +7,13 @@
 from random import Random
 from typing import Any
 
-from pointgw.tier.facts import Seen
-from pointgw.tier.node import Tier, Told
-from pointgw.tier.plan import Kind, Ways
+from pointgw.tier.facts import ZoneObservation
+from pointgw.tier.node import ClusterNode, ClusterSettings
+from pointgw.tier.plan import ProfileCosts, RegionLinks
 from pointgw.tier.wire import Keys
 
 KEY = b"k" * 16
-KINDS = (Kind(2.0, 0.3), Kind(1.0, 0.3))
+KINDS = (ProfileCosts(2.0, 0.3), ProfileCosts(1.0, 0.3))
 
 
 class World:
@@ -22,14 +22,14 @@
     def __init__(self, size: int, seed: int = 1, zones: int = 3, **told: Any) -> None:
         self.rng, self.now, self.order = Random(seed), 0.0, count()
         self.zones, self.size, self.told = zones, size, told
-        self.nodes: dict[int, Tier] = {}
+        self.nodes: dict[int, ClusterNode] = {}
         self.queue: list[tuple[float, int, str, int, bytes]] = []
         self.loss, self.delay = 0.0, 0.01
         self.cut: set[int] = set()  # these hear only one another
         self.mute: set[int] = set()  # what these say is lost
         self.room = [8.0] * zones
         self.seen_by: dict[int, list[float]] = {}  # who sees other rooms than are there
-        self.says: dict[int, tuple[Seen, ...]] = {}  # who lies, and what it says
+        self.says: dict[int, tuple[ZoneObservation, ...]] = {}  # who lies, and what it says
         self.paused: set[int] = set()
         self.recorded: list[tuple[int, bytes]] | None = None
         for number in range(size):
@@ -37,9 +37,9 @@
 
     def start(self, number: int) -> None:
         region = tuple(z // 2 for z in range(self.zones))
-        told = Told(number, self.size, number % self.zones, self.zones, KINDS, Ways(region, {}, {}), 1,
-                    **self.told)  # fmt: skip
-        self.nodes[number] = Tier(told, Keys((KEY,)), Random(self.rng.random()), self.now)
+        told = ClusterSettings(number, self.size, number % self.zones, self.zones, KINDS,
+                               RegionLinks(region, {}, {}), 1, **self.told)  # fmt: skip
+        self.nodes[number] = ClusterNode(told, Keys((KEY,)), Random(self.rng.random()), self.now)
         self._later("turn", number, self.rng.random() * 0.2)
 
     def run(self, seconds: float) -> None:
@@ -55,10 +55,10 @@
                 continue
             if what == "turn":
                 self._see(number, node)
-                out = node.turns(self.now)
+                out = node.timer_due(self.now)
                 self._later("turn", number, max(0.005, node.next_at(self.now) - self.now))
             else:
-                out = node.hears(data, self.now)
+                out = node.receive(data, self.now)
             for to, sent in out:
                 apart = (number in self.cut) is not (to in self.cut)
                 if not apart and number not in self.mute and self.rng.random() >= self.loss:
@@ -70,15 +70,17 @@
             self.recorded.append((number, data))
         heapq.heappush(self.queue, (self.now + delay, next(self.order), what, number, data))
 
-    def _see(self, number: int, node: Tier) -> None:
+    def _see(self, number: int, node: ClusterNode) -> None:
         if number in self.says:
-            node.sees(self.says[number], self.now)
+            node.observe(self.says[number], self.now)
             return
         rooms, own = self.seen_by.get(number, self.room), number % self.zones
         share = max(1, self.size // self.zones)
-        node.sees(
+        node.observe(
             tuple(
-                Seen(room, 8.0, 3.0, 300 // share * (z == own), (180 // share, 120 // share) * (z == own))
+                ZoneObservation(
+                    room, 8.0, 3.0, 300 // share * (z == own), (180 // share, 120 // share) * (z == own)
+                )
                 for z, room in enumerate(rooms)
             ),
             self.now,
@@ -88,4 +90,4 @@
         return [node.members.alive() for n, node in sorted(self.nodes.items()) if n not in self.paused]
 
     def closed(self) -> set[int]:
-        return {node.accord.closed for n, node in self.nodes.items() if n not in self.paused}
+        return {node.agreement.closed for n, node in self.nodes.items() if n not in self.paused}
