--- a/benchmarks/blind.py
+++ b/benchmarks/blind.py
@@ -21,14 +21,14 @@
 
 import msgspec
 
-from pointgw.rig import records
-from pointgw.rig.meta import Meta
-from pointgw.rig.play import Play
-from pointgw.rig.referee import judge
-from pointgw.rig.results import Result, compare, result, spread
-from pointgw.rig.scenario import Scenario, Trouble, read
-from pointgw.state.form import encode
-from pointgw.state.store import SnapshotStore
+from pointgw.state.snapshot_format import encode
+from pointgw.state.snapshot_store import SnapshotStore
+from pointgw.testbed import records
+from pointgw.testbed.meta import Meta
+from pointgw.testbed.play import Play
+from pointgw.testbed.referee import judge
+from pointgw.testbed.results import Result, compare, result, spread
+from pointgw.testbed.scenario import Scenario, Trouble, read
 
 FIRST = 10.0  # seconds from the restart that are looked at
 
--- a/benchmarks/cold_untold.py
+++ b/benchmarks/cold_untold.py
@@ -16,11 +16,11 @@
 
 import msgspec
 
-from pointgw.rig import records as rec
-from pointgw.rig.play import Play
-from pointgw.rig.referee import judge
-from pointgw.rig.results import Result, result, spread
-from pointgw.rig.scenario import read
+from pointgw.testbed import records as rec
+from pointgw.testbed.play import Play
+from pointgw.testbed.referee import judge
+from pointgw.testbed.results import Result, result, spread
+from pointgw.testbed.scenario import read
 
 DAYS = ("power-loss", "three-at-once")
 BACK = 0.9  # of the credit asked
--- a/benchmarks/filling.py
+++ b/benchmarks/filling.py
@@ -16,11 +16,11 @@
 
 import msgspec
 
-from pointgw.rig import records as rec
-from pointgw.rig.play import Play
-from pointgw.rig.referee import judge
-from pointgw.rig.results import Result, result
-from pointgw.rig.scenario import read
+from pointgw.testbed import records as rec
+from pointgw.testbed.play import Play
+from pointgw.testbed.referee import judge
+from pointgw.testbed.results import Result, result
+from pointgw.testbed.scenario import read
 
 DAY, LOSS = "power-loss", 10.0
 MARKS = (0.9, 0.5)  # of the higher credit's and the lower's, as the issue asks
--- a/benchmarks/filling_size.py
+++ b/benchmarks/filling_size.py
@@ -20,7 +20,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
 from filling_world import World
-from pointgw.recovery.loans import Leases
+from pointgw.recovery.leases import Leases
 
 
 class Liar(Leases):
--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -16,12 +16,12 @@
 
 import msgspec
 
-from pointgw.rig import records
-from pointgw.rig.baseline import POLICIES
-from pointgw.rig.play import Play
-from pointgw.rig.referee import judge
-from pointgw.rig.results import Result, compare, result, spread
-from pointgw.rig.scenario import Scenario, library, read
+from pointgw.testbed import records
+from pointgw.testbed.baseline import POLICIES
+from pointgw.testbed.play import Play
+from pointgw.testbed.referee import judge
+from pointgw.testbed.results import Result, compare, result, spread
+from pointgw.testbed.scenario import Scenario, library, read
 
 
 async def one(scenario: Scenario, seed: int, policy: str, folder: Path, run: int) -> Result:
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -13,11 +13,11 @@
 import time
 
 from pointgw.interface import ServerEntry
-from pointgw.state import form
-from pointgw.state.facts import Snapshot
-from pointgw.state.keeper import SnapshotWriter
-from pointgw.state.recall import MembershipView, restore
-from pointgw.state.store import SnapshotStore
+from pointgw.state import snapshot_format
+from pointgw.state.records import Snapshot
+from pointgw.state.restore import MembershipView, restore
+from pointgw.state.snapshot_store import SnapshotStore
+from pointgw.state.snapshot_writer import SnapshotWriter
 
 
 def roster(entries: int, now: float) -> MembershipView:
@@ -69,7 +69,7 @@
     made = roster(told.entries, now)
     grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before
     memory = Snapshot("mark", now, 1, "here", False, made.kept(now))
-    data = form.encode(memory)
+    data = snapshot_format.encode(memory)
     with tempfile.TemporaryDirectory() as folder:
         store = SnapshotStore(folder)
         store.claim("n0")
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -26,8 +26,8 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from pointgw.rig.alone import Alone
-from pointgw.rig.scenario import Fleet, Kind
+from pointgw.testbed.alone import Alone
+from pointgw.testbed.scenario import Fleet, Kind
 
 END = b"\r\n"
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -19,11 +19,11 @@
 
 import msgspec
 
-from pointgw.rig import records as rec
-from pointgw.rig.play import Play
-from pointgw.rig.referee import judge
-from pointgw.rig.results import Result, compare, result, spread
-from pointgw.rig.scenario import Scenario, Trouble, read
+from pointgw.testbed import records as rec
+from pointgw.testbed.play import Play
+from pointgw.testbed.referee import judge
+from pointgw.testbed.results import Result, compare, result, spread
+from pointgw.testbed.scenario import Scenario, Trouble, read
 
 AFTER = 15.0  # seconds from the loss that are looked at
 BEARS = 0.85  # load that a zone is filled to at most, as operate/tier.md states
--- a/pointgw/__main__.py
+++ b/pointgw/__main__.py
@@ -6,7 +6,7 @@
 import sys
 from collections.abc import Sequence
 
-from pointgw import early
+from pointgw import early_signals
 
 
 def main(arguments: Sequence[str] = ()) -> int:
@@ -18,7 +18,7 @@
     if not path:
         print("pointgw: expected GW_CONFIG to name the start-up file (pointgw --help)", file=sys.stderr)
         return 2
-    early.begin()
+    early_signals.begin()
     from pointgw.net.run.daemon import daemon
 
     return daemon(path, os.environ.get("GW_OPERATOR"))
--- a/pointgw/tier/accord.py
+++ b/pointgw/cluster/agreement.py
@@ -19,8 +19,8 @@
 
 import msgspec
 
-from pointgw.tier.members import Members
-from pointgw.tier.wire import Vote
+from pointgw.cluster.members import Members
+from pointgw.cluster.wire import Vote
 
 ABSTAIN = 12  # periods after the start in which nothing is promised
 AGAIN = 4.0  # periods, times log2 of the members, after which a vote that was not agreed is given up
--- a/pointgw/tier/members.py
+++ b/pointgw/cluster/members.py
@@ -16,8 +16,8 @@
 from math import ceil, inf, log
 from random import Random
 
-from pointgw.tier import wire
-from pointgw.tier.wire import Packet
+from pointgw.cluster import wire
+from pointgw.cluster.wire import Packet
 
 ASKED = 4  # others that are asked to ping one that did not answer
 WAIT = 0.4  # of a period: until others are asked
--- a/pointgw/tier/node.py
+++ b/pointgw/cluster/node.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from pointgw.tier import plan, wire
-from pointgw.tier.accord import Agreement
-from pointgw.tier.facts import Zone, ZoneObservation, ZoneObservations
-from pointgw.tier.members import FEW, Members, Send
-from pointgw.tier.plan import Plan, ProfileCosts, RegionLinks
+from pointgw.cluster import plan, wire
+from pointgw.cluster.agreement import Agreement
+from pointgw.cluster.members import FEW, Members, Send
+from pointgw.cluster.observations import Zone, ZoneObservation, ZoneObservations
+from pointgw.cluster.plan import Plan, ProfileCosts, RegionLinks
 
 EMPTY, FILLED = 0.1, 0.3  # of what a zone can do when warm: room under which it is closed, over which opened
 SHORT, LONG = 2, 16  # periods for which it must be so
--- a/pointgw/tier/facts.py
+++ b/pointgw/cluster/observations.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from pointgw.tier import wire
-from pointgw.tier.members import Members
-from pointgw.tier.wire import Fact
+from pointgw.cluster import wire
+from pointgw.cluster.members import Members
+from pointgw.cluster.wire import Fact
 
 OLD = 5.0  # seconds after which a fact tells nothing
 HALF = 0xFFFFFFFF  # the part of a run that facts name
--- a/pointgw/tier/plan.py
+++ b/pointgw/cluster/plan.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass
 
-from pointgw.tier.facts import Zone
+from pointgw.cluster.observations import Zone
 
 BOUND = 0.65  # of what a zone's ready servers can do: what is planned there at most
 TIGHT = 0.78  # the same, where some would be turned away else
--- a/pointgw/tier/given.py
+++ b/pointgw/cluster/settings.py
@@ -8,13 +8,13 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from pointgw import checked
+from pointgw import validation
+from pointgw.cluster import wire
+from pointgw.cluster.node import ClusterSettings
+from pointgw.cluster.plan import ProfileCosts, RegionLinks
 from pointgw.interface import Profile
 from pointgw.operators import RecoverySection
 from pointgw.operators import TierSection as Section
-from pointgw.tier import wire
-from pointgw.tier.node import ClusterSettings
-from pointgw.tier.plan import ProfileCosts, RegionLinks
 
 SHORTEST = 16  # bytes of a key
 
@@ -24,15 +24,15 @@
 def cluster_settings(
     section: Section, zones: tuple[str, ...], zone: int, profiles: tuple[Profile, ...], me: int, count: int
 ) -> ClusterSettings:
-    """Raises `checked.InvalidFileError` with all that is wrong."""
+    """Raises `validation.InvalidFileError` with all that is wrong."""
     faults = list(_faults(section, zones))
     if not 0 <= me < count:
         what = "a list with this balancer's own address in it"
-        faults.append(checked.InvalidValue("tier.peers", str(count), what))
+        faults.append(validation.InvalidValue("tier.peers", str(count), what))
     if count > wire.MOST_MEMBERS:
-        faults.append(checked.InvalidValue("tier.peers", str(count), f"at most {wire.MOST_MEMBERS}"))
+        faults.append(validation.InvalidValue("tier.peers", str(count), f"at most {wire.MOST_MEMBERS}"))
     if faults:
-        raise checked.InvalidFileError("operators' file", faults)
+        raise validation.InvalidFileError("operators' file", faults)
     names = sorted(section.regions)
     named = {z: names.index(r) for r in names for z in section.regions[r]}
     rest = len(names)  # zones that no region names are one more
@@ -57,62 +57,64 @@
     number: int,
 ) -> tuple[tuple[Address, ...], Address, int]:
     """All peers by number, where this one listens, and its number (-1: not among them); what a section does
-    not tell is as the start-up file has it. Raises `checked.InvalidFileError`."""
+    not tell is as the start-up file has it. Raises `validation.InvalidFileError`."""
     peers = tuple(address(name, peer) for peer in section.peers) or peers
     listen = address(name, section.listen) if section.listen else listen
     if listen is None:
         what = "HOST:PORT, as the start-up file has no peer_listen"
-        raise checked.InvalidFileError("operators' file", [checked.InvalidValue(f"{name}.listen", "", what)])
+        raise validation.InvalidFileError(
+            "operators' file", [validation.InvalidValue(f"{name}.listen", "", what)]
+        )
     return peers, listen, number if number >= 0 else peers.index(listen) if listen in peers else -1
 
 
 def address(name: str, text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise checked.InvalidFileError(
-            "operators' file", [checked.InvalidValue(name, repr(text), "HOST:PORT")]
+        raise validation.InvalidFileError(
+            "operators' file", [validation.InvalidValue(name, repr(text), "HOST:PORT")]
         )
     return host, int(port)
 
 
-def _faults(section: Section, zones: tuple[str, ...]) -> Iterator[checked.InvalidValue]:
+def _faults(section: Section, zones: tuple[str, ...]) -> Iterator[validation.InvalidValue]:
     known = "one of " + ", ".join(zones)
     seen: set[str] = set()
     for region, names in sorted(section.regions.items()):
         for name in names:
             if name not in zones:
-                yield checked.InvalidValue(f"tier.regions.{region}", repr(name), known)
+                yield validation.InvalidValue(f"tier.regions.{region}", repr(name), known)
             if name in seen:
-                yield checked.InvalidValue(f"tier.regions.{region}", repr(name), "each zone in one region")
+                yield validation.InvalidValue(f"tier.regions.{region}", repr(name), "each zone in one region")
             seen.add(name)
     for i, way in enumerate(section.ways):
         for name in way.between:
             if name not in section.regions:
                 what = "one of " + ", ".join(sorted(section.regions))
-                yield checked.InvalidValue(f"tier.ways[{i}].between", repr(name), what)
+                yield validation.InvalidValue(f"tier.ways[{i}].between", repr(name), what)
     for name in section.evacuate:
         if name not in zones:
-            yield checked.InvalidValue("tier.evacuate", repr(name), known)
+            yield validation.InvalidValue("tier.evacuate", repr(name), known)
     if len(set(section.evacuate)) >= len(zones):
-        yield checked.InvalidValue(
+        yield validation.InvalidValue(
             "tier.evacuate", repr(list(section.evacuate)), "at least one zone that stays"
         )
 
 
 def read_keys(path: str) -> wire.Keys:
-    """The keys of a file, one a line, the first one signs. Raises `checked.InvalidFileError`."""
+    """The keys of a file, one a line, the first one signs. Raises `validation.InvalidFileError`."""
     if not path:
         return wire.Keys()
     try:
         mode = stat.S_IMODE(os.stat(path).st_mode)
         lines = [line.strip() for line in Path(path).read_text("ascii").splitlines() if line.strip()]
     except (OSError, UnicodeDecodeError) as fault:
-        raise checked.InvalidFileError(
-            path, [checked.InvalidValue("", "", f"a file that can be read ({fault})")]
+        raise validation.InvalidFileError(
+            path, [validation.InvalidValue("", "", f"a file that can be read ({fault})")]
         ) from None
     if mode & 0o077:
-        raise checked.InvalidFileError(
-            path, [checked.InvalidValue("", f"{mode:o}", "a mode of 600: nobody else may read it")]
+        raise validation.InvalidFileError(
+            path, [validation.InvalidValue("", f"{mode:o}", "a mode of 600: nobody else may read it")]
         )
     try:
         found = tuple(bytes.fromhex(line) for line in lines)
@@ -120,5 +122,5 @@
         found = ()
     if not 1 <= len(found) <= 2 or any(not SHORTEST <= len(key) <= 64 for key in found):
         what = f"one or two keys of {SHORTEST} to 64 bytes, in hex"
-        raise checked.InvalidFileError(path, [checked.InvalidValue("", "", what)])
+        raise validation.InvalidFileError(path, [validation.InvalidValue("", "", what)])
     return wire.Keys(found)
--- a/pointgw/tier/run.py
+++ b/pointgw/cluster/transport.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from pointgw.tier.node import ClusterNode, Out
+from pointgw.cluster.node import ClusterNode, Out
 
 LEAST = 0.005  # seconds between two turns
 
--- a/pointgw/tier/wire.py
+++ b/pointgw/cluster/wire.py
@@ -72,7 +72,7 @@
 
 
 class Vote(Struct, frozen=True, array_like=True):
-    """Which zones are to be closed, as one balancer holds it, and who has promised it (`accord`)."""
+    """Which zones are to be closed, as one balancer holds it, and who has promised it (`agreement`)."""
 
     term: Count
     leader: Number
--- a/pointgw/command/main.py
+++ b/pointgw/command/main.py
@@ -8,7 +8,7 @@
 
 import click
 
-from pointgw import checked
+from pointgw import validation
 from pointgw.command.parts import Address, faulty
 from pointgw.site import Malformed
 
@@ -38,10 +38,10 @@
 @click.option("--json", "as_json", is_flag=True, help="Faults as JSON on standard output.")
 def check(file: str, kind: str | None, as_json: bool) -> int:
     """Check a file and tell all that is wrong with it. Exit 1: a fault."""
-    faults: list[checked.InvalidValue] = []
+    faults: list[validation.InvalidValue] = []
     try:
         _checked(Path(file), kind)
-    except checked.InvalidFileError as told:
+    except validation.InvalidFileError as told:
         faults = told.problems
     if as_json:
         rows = [{"path": f.path, "value": f.value, "expected": f.expected} for f in faults]
@@ -56,31 +56,31 @@
 
 def _checked(path: Path, kind: str | None) -> None:
     if kind == "start" or (kind is None and path.suffix == ".json"):
-        from pointgw.net.wire.start import parse_start_up_file
+        from pointgw.net.wire.start_up import parse_start_up_file
 
         try:
             parse_start_up_file(path.read_bytes())
         except OSError as fault:
             what = f"a file that can be read ({fault.strerror})"
-            raise checked.InvalidFileError(str(path), [checked.InvalidValue("", "", what)]) from None
+            raise validation.InvalidFileError(str(path), [validation.InvalidValue("", "", what)]) from None
         except Malformed as fault:
-            raise checked.InvalidFileError(
-                str(path), [checked.InvalidValue("", "", str(fault).removeprefix("expected "))]
+            raise validation.InvalidFileError(
+                str(path), [validation.InvalidValue("", "", str(fault).removeprefix("expected "))]
             ) from None
         return
-    told = checked.read_toml(path)
+    told = validation.read_toml(path)
     if kind == "script" or (kind is None and ("rule" in told or "known_by" in told)):
-        from pointgw.faultbox.script import Script
+        from pointgw.fault_proxy.script import Script
 
-        checked.convert(told, Script, str(path))
+        validation.convert(told, Script, str(path))
     elif kind == "scenario" or (kind is None and "demand" in told):
-        from pointgw.rig.scenario import Scenario
+        from pointgw.testbed.scenario import Scenario
 
-        checked.convert(told, Scenario, str(path))
+        validation.convert(told, Scenario, str(path))
     else:
         from pointgw.operators import OperatorSettings
 
-        checked.convert(told, OperatorSettings, str(path))
+        validation.convert(told, OperatorSettings, str(path))
 
 
 @pointgw.command("fault-box")
@@ -95,7 +95,7 @@
     listen: tuple[str, int], to: tuple[str, int], script: str | None, seed: int, trace: str | None
 ) -> int:
     """Stand between two sockets and disturb what passes, until Ctrl-C."""
-    from pointgw.faultbox.serve import serve_box
+    from pointgw.fault_proxy.serve import serve_box
 
     with faulty():
         return serve_box(listen, to, script, seed, trace)
@@ -190,7 +190,7 @@
 @rig.command("list")
 def rig_list() -> None:
     """Name the scenarios of the library."""
-    from pointgw.rig.scenario import library, read
+    from pointgw.testbed.scenario import library, read
 
     with faulty():
         for name in library():
@@ -236,7 +236,7 @@
 ) -> int:  # fmt: skip
     """Open tunnels at a rate and tell how long each took from when it was to come."""
     from pointgw.command.rig import load_and_show
-    from pointgw.rig.load import Load
+    from pointgw.testbed.load import Load
 
     return load_and_show(Load(to, rate, seconds, life, profile, timeout, seed), as_json)
 
@@ -257,7 +257,7 @@
 ) -> int:  # fmt: skip
     """Serve as stand-in servers and discovery, in one process, until Ctrl-C."""
     from pointgw.command.rig import stand_in_until_told
-    from pointgw.rig.alone import Alone
+    from pointgw.testbed.alone import Alone
 
     return stand_in_until_told(Alone(listen, discovery, servers, capacity, config, balancer))
 
--- a/pointgw/command/parts.py
+++ b/pointgw/command/parts.py
@@ -7,7 +7,7 @@
 
 import click
 
-from pointgw import checked
+from pointgw import validation
 
 
 class Address(click.ParamType[tuple[str, int]]):
@@ -31,7 +31,7 @@
     """A file with faults: a line for each, and exit 2."""
     try:
         yield
-    except checked.InvalidFileError as told:
+    except validation.InvalidFileError as told:
         for fault in told.problems:
             click.echo(f"pointgw: {fault.message(told.file)}", err=True)
         raise click.exceptions.Exit(2) from None
--- a/pointgw/command/rig.py
+++ b/pointgw/command/rig.py
@@ -14,16 +14,16 @@
 import msgspec
 import uvloop
 
-from pointgw import checked
+from pointgw import validation
 from pointgw.net.run import log
-from pointgw.rig import meta as rig_meta
-from pointgw.rig import records, table
-from pointgw.rig.alone import Alone
-from pointgw.rig.load import Load
-from pointgw.rig.play import Play, Void
-from pointgw.rig.referee import judge, report
-from pointgw.rig.results import Result, result
-from pointgw.rig.scenario import Scenario, read
+from pointgw.testbed import meta as rig_meta
+from pointgw.testbed import records, table
+from pointgw.testbed.alone import Alone
+from pointgw.testbed.load import Load
+from pointgw.testbed.play import Play, Void
+from pointgw.testbed.referee import judge, report
+from pointgw.testbed.results import Result, result
+from pointgw.testbed.scenario import Scenario, read
 
 
 def play_and_show(
@@ -58,7 +58,7 @@
         click.echo("\n".join(table.rows(found)))
     if plot:
         try:
-            from pointgw.rig.plot import draw
+            from pointgw.testbed.plot import draw
         except ImportError:
             click.echo("no plot: install pointgw[rig]", err=True)
         else:
@@ -136,7 +136,7 @@
         if found:
             return found
         what = "at least one run"
-    raise checked.InvalidFileError(path, [checked.InvalidValue("", "", what)])
+    raise validation.InvalidFileError(path, [validation.InvalidValue("", "", what)])
 
 
 def load_and_show(load: Load, as_json: bool) -> int:
--- a/pointgw/command/state.py
+++ b/pointgw/command/state.py
@@ -8,9 +8,9 @@
 import click
 import msgspec
 
-from pointgw.state.form import NewerVersionError
-from pointgw.state.recall import rows
-from pointgw.state.store import LoadResult, SnapshotStore
+from pointgw.state.restore import rows
+from pointgw.state.snapshot_format import NewerVersionError
+from pointgw.state.snapshot_store import LoadResult, SnapshotStore
 
 
 def _load(folder: str) -> LoadResult | None:
--- a/pointgw/faultbox/schedule.py
+++ b/pointgw/fault_proxy/schedule.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from random import Random
 
-from pointgw.faultbox.script import LASTING, ON_BOTH, ON_LINES, Rule, Script
+from pointgw.fault_proxy.script import LASTING, ON_BOTH, ON_LINES, Rule, Script
 
 LONGEST_HELD = 64 * 1024  # bytes of a line that is held to be doubled or replaced
 NEWLINE = 10
--- a/pointgw/faultbox/serve.py
+++ b/pointgw/fault_proxy/serve.py
@@ -9,14 +9,14 @@
 
 import uvloop
 
-from pointgw import checked
-from pointgw.faultbox.box import Address, Box
-from pointgw.faultbox.script import Script
+from pointgw import validation
+from pointgw.fault_proxy.box import Address, Box
+from pointgw.fault_proxy.script import Script
 
 
 def serve_box(listen: Address, to: Address, script: str | None, seed: int, trace: str | None) -> int:
-    """Runs until SIGINT or SIGTERM, then writes the trace. Raises `checked.InvalidFileError`."""
-    rules = checked.read(Path(script), Script) if script else Script()
+    """Runs until SIGINT or SIGTERM, then writes the trace. Raises `validation.InvalidFileError`."""
+    rules = validation.read(Path(script), Script) if script else Script()
 
     async def serve() -> int:
         box = Box(rules, seed, to, listen)
--- a/pointgw/net/__init__.py
+++ b/pointgw/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real balancer: what is spoken (`wire`), what is kept (`memory`), start and stop (`run`)."""
+"""The real balancer: what is spoken (`wire`), what is kept (`core`), start and stop (`run`)."""
--- a/pointgw/net/memory/effects.py
+++ b/pointgw/net/core/effects.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from pointgw.net.wire.lines import Answer, OpenRequest
-from pointgw.net.wire.listing import Names
+from pointgw.net.wire.server_list import Names
 
 Address = tuple[str, int]
 
--- a/pointgw/net/memory/events.py
+++ b/pointgw/net/core/events.py
@@ -6,7 +6,7 @@
 
 from pointgw.interface import Ending, Report
 from pointgw.net.wire.lines import EndLine, Load, OpenRequest
-from pointgw.net.wire.listing import Names, ServerList
+from pointgw.net.wire.server_list import Names, ServerList
 
 
 @dataclass(frozen=True, slots=True)
--- a/pointgw/net/memory/reducer.py
+++ b/pointgw/net/core/reducer.py
@@ -13,9 +13,8 @@
 from typing import TYPE_CHECKING
 
 from pointgw.interface import Ending, Report, ServerEntry
-from pointgw.net.invariant import check_invariant
-from pointgw.net.memory import effects as fx
-from pointgw.net.memory.events import (
+from pointgw.net.core import effects as fx
+from pointgw.net.core.events import (
     ClientArrived,
     ClientLeft,
     Event,
@@ -31,15 +30,16 @@
     StopRequested,
     TimerDue,
 )
-from pointgw.net.memory.guard import DeliveryGuard
-from pointgw.net.memory.start_times import StartTimes
+from pointgw.net.core.guard import DeliveryGuard
+from pointgw.net.core.start_times import StartTimes
+from pointgw.net.invariant import check_invariant
 from pointgw.net.wire.lines import Decline, Failure, OpenRequest
-from pointgw.net.wire.listing import ServerList
-from pointgw.net.wire.start import StartUpSettings
+from pointgw.net.wire.server_list import ServerList
+from pointgw.net.wire.start_up import StartUpSettings
 from pointgw.policy import Balancer, Server, State, Tunnel
 
 if TYPE_CHECKING:
-    from pointgw.state.recall import MembershipView, RestoredState
+    from pointgw.state.restore import MembershipView, RestoredState
 
 PUSHED_AGAIN = 0.25  # of the grace after a telling: the pause after a failed call, where lists are pushed
 # Seconds after which what a discovery in reach has counts as told, whatever failed before; and after the wait
--- a/pointgw/net/memory/start_times.py
+++ b/pointgw/net/core/start_times.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Iterator
 
 from pointgw.interface import ServerEntry
-from pointgw.net.wire.listing import UNUSABLE
+from pointgw.net.wire.server_list import UNUSABLE
 
 LONG_AGO = 0.0  # told for a server that is not starting
 
--- a/pointgw/net/run/node.py
+++ b/pointgw/net/run/balancer_process.py
@@ -14,10 +14,9 @@
 
 import uvloop
 
-from pointgw import early
-from pointgw.net.invariant import violations
-from pointgw.net.memory import effects as fx
-from pointgw.net.memory.events import (
+from pointgw import early_signals
+from pointgw.net.core import effects as fx
+from pointgw.net.core.events import (
     ClientArrived,
     ClientLeft,
     Event,
@@ -30,27 +29,28 @@
     StopRequested,
     TimerDue,
 )
-from pointgw.net.memory.reducer import STANDING, Reducer
-from pointgw.net.memory.route import RouteEvidence
-from pointgw.net.run import ends
+from pointgw.net.core.reducer import STANDING, Reducer
+from pointgw.net.core.route import RouteEvidence
+from pointgw.net.invariant import violations
+from pointgw.net.run import tcp
 from pointgw.net.run.client import ClientSide
 from pointgw.net.run.client_connections import ClientConnections
+from pointgw.net.run.connection_state import ConnectionState
 from pointgw.net.run.discovery import DiscoverySide
-from pointgw.net.run.life import ConnectionState
 from pointgw.net.run.periodic import Periodic, count_fault
 from pointgw.net.run.probe_pool import ProbePool
 from pointgw.net.run.request_log import RequestLog
 from pointgw.net.run.server import ServerSide
 from pointgw.net.wire.lines import Decline, EndLine, OpenRequest
-from pointgw.net.wire.start import StartUpSettings
+from pointgw.net.wire.start_up import StartUpSettings
 from pointgw.policy import Balancer
 from pointgw.site import Malformed
 
 if TYPE_CHECKING:
-    from pointgw.net.run.operated import OperatorFile
-    from pointgw.net.run.recovering import RecoveryRunner
-    from pointgw.net.run.remembering import SnapshotRunner
-    from pointgw.net.run.tiering import ClusterRunner
+    from pointgw.net.run.cluster import ClusterRunner
+    from pointgw.net.run.operator_file import OperatorFile
+    from pointgw.net.run.recovery import RecoveryRunner
+    from pointgw.net.run.snapshots import SnapshotRunner
 
 LOOK = 0.25  # seconds between two looks for connections that bring nothing back
 REPORT = 10.0  # seconds between two lines of the log on how things stand
@@ -112,7 +112,7 @@
     def _reducer(self, policy: type[Balancer]) -> Reducer:
         if self.snapshots is None:
             return Reducer(self.start, self.now(), policy)
-        from pointgw.net.run.remembering import restore_learned_state
+        from pointgw.net.run.snapshots import restore_learned_state
 
         recalled = self.snapshots.restored
         reducer = Reducer(self.start, self.now(), policy, self.snapshots.membership, recalled)
@@ -169,7 +169,7 @@
             self.loop.add_signal_handler(name, self.stop)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         self._carry_out(self.reducer.take_effects())
-        if early.noted():  # it came after the file was read, or may have
+        if early_signals.noted():  # it came after the file was read, or may have
             self.reload()
         if self.reducer.list_is_pushed:  # rule 3: what the agent has counts as told from the first moment
             await self.heard
@@ -396,7 +396,7 @@
         for side in list(self.connections.idle):
             # One whose line has come and was not read yet is not silent; one amid its line has longer.
             within = self.line_within if side.buffer else self.first_within
-            if now - side.accepted_at > within and not ends.unread(side.transport):
+            if now - side.accepted_at > within and not tcp.unread(side.transport):
                 side.refuse("silent", "expected a first line in time")
 
     def _answer_overdue(self, side: ClientSide, now: float) -> None:
--- a/pointgw/net/run/client.py
+++ b/pointgw/net/run/client.py
@@ -6,14 +6,14 @@
 import select
 from typing import TYPE_CHECKING, cast
 
-from pointgw.net.memory.events import ClientArrived, ClientLeft
-from pointgw.net.run import ends
-from pointgw.net.run.life import ConnectionLifecycle, ConnectionState
+from pointgw.net.core.events import ClientArrived, ClientLeft
+from pointgw.net.run import tcp
+from pointgw.net.run.connection_state import ConnectionLifecycle, ConnectionState
 from pointgw.net.wire import lines
 from pointgw.site import Malformed
 
 if TYPE_CHECKING:
-    from pointgw.net.run.node import BalancerProcess
+    from pointgw.net.run.balancer_process import BalancerProcess
     from pointgw.net.run.server import ServerSide
 
 
@@ -30,7 +30,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(ends.FULL_BUFFER)
+        self.transport.set_write_buffer_limits(tcp.FULL_BUFFER)
         self.node.accepted(self)
 
     def data_received(self, data: bytes) -> None:
@@ -107,7 +107,7 @@
         self.server = None
         if reset:
             self.life.transition_to(ConnectionState.ENDED)
-            ends.reset(self.transport)
+            tcp.reset(self.transport)
         else:
             self.life.transition_to(ConnectionState.HALF_CLOSED)
             self.node.connections.linger(self, self.transport)
@@ -123,7 +123,7 @@
         """Its descriptor is needed for clients that do speak."""
         if not self.life.over:
             self.life.transition_to(ConnectionState.ENDED)
-            ends.close(self.transport, lines.answer_line(lines.Decline(0.0)))
+            tcp.close(self.transport, lines.answer_line(lines.Decline(0.0)))
 
     def pause_writing(self) -> None:
         if self.server is not None:
@@ -147,7 +147,7 @@
     def found_gone(self) -> bool:
         """Looks at its socket before something is begun for it: whether it has left, and nobody has read that
         yet, as the loop is late or its end waits behind other events."""
-        found = 0 if self.life.over else ends.ended(self.transport)
+        found = 0 if self.life.over else tcp.ended(self.transport)
         if found:
             self._gone(bool(found & (select.POLLERR | select.POLLHUP)))
         return bool(found)
--- a/pointgw/net/run/client_connections.py
+++ b/pointgw/net/run/client_connections.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from pointgw.net.run import ends
+from pointgw.net.run import tcp
 from pointgw.net.run.client import ClientSide
 from pointgw.net.run.lingering_close import LingeringClose
 from pointgw.net.run.listener import Listener
@@ -62,7 +62,7 @@
         if self.lingering:
             next(iter(self.lingering.values())).transport.abort()
             return None
-        oldest = next((side for side in self.idle if not ends.unread(side.transport)), None)
+        oldest = next((side for side in self.idle if not tcp.unread(side.transport)), None)
         if oldest is not None:
             del self.idle[oldest]
             oldest.make_room()
@@ -72,7 +72,7 @@
         """What has come on one is read and answered first. What crosses our end is not sent on, and the line
         before that end tells its client that another try is harmless."""
         for side in list(self.idle):
-            if now - side.accepted_at >= age and not ends.unread(side.transport):
+            if now - side.accepted_at >= age and not tcp.unread(side.transport):
                 side.answer(Decline(0.0))
 
     # Closing.
--- a/pointgw/net/run/tiering.py
+++ b/pointgw/net/run/cluster.py
@@ -1,4 +1,4 @@
-"""The tier (`pointgw.tier`) beside a balancer: what it sees goes out, the plan in force comes in.
+"""The tier (`pointgw.cluster`) beside a balancer: what it sees goes out, the plan in force comes in.
 
 Only loaded where the operators' file has `[tier]`.
 """
@@ -16,16 +16,16 @@
 
 import msgspec
 
-from pointgw import checked, operators
+from pointgw import operators, validation
+from pointgw.cluster import settings
+from pointgw.cluster.node import ClusterNode, ClusterSettings
+from pointgw.cluster.observations import ZoneObservation
+from pointgw.cluster.transport import ClusterTransport
+from pointgw.cluster.wire import Keys
 from pointgw.interface import Profile
-from pointgw.net.memory.reducer import Reducer
-from pointgw.net.wire.start import StartUpSettings
+from pointgw.net.core.reducer import Reducer
+from pointgw.net.wire.start_up import StartUpSettings
 from pointgw.policy import Balancer, Server, State, Tunnel
-from pointgw.tier import given
-from pointgw.tier.facts import ZoneObservation
-from pointgw.tier.node import ClusterNode, ClusterSettings
-from pointgw.tier.run import ClusterTransport
-from pointgw.tier.wire import Keys
 
 TURNED_AWAY = 1.0  # seconds for which a client that was turned away counts as there: it comes again
 MOST_AWAY = 100_000  # of them that are remembered
@@ -59,19 +59,19 @@
         """None, and a line for each fault on standard error, where it can't be."""
         try:
             return cls._begin(section, start)
-        except checked.InvalidFileError as faulty:
+        except validation.InvalidFileError as faulty:
             for fault in faulty.problems:
                 print(f"pointgw: {fault.message(faulty.file)}", file=sys.stderr)
             return None
 
     @classmethod
     def _begin(cls, section: operators.TierSection, start: StartUpSettings) -> ClusterRunner:
-        peers, listen, me = given.endpoints(
+        peers, listen, me = settings.endpoints(
             "tier", section, start.peers, start.peer_listen, start.balancer_index
         )
         names = start.names.zones
-        told = given.cluster_settings(section, names, start.site.zone, start.site.profiles, me, len(peers))
-        keys = given.read_keys(section.key_file)
+        told = settings.cluster_settings(section, names, start.site.zone, start.site.profiles, me, len(peers))
+        keys = settings.read_keys(section.key_file)
         return cls(told, keys, peers, listen, section.status, names, start.profiles)
 
     async def start(self, reducer: Reducer, loop: asyncio.AbstractEventLoop, seed: int) -> None:
--- a/pointgw/net/run/daemon.py
+++ b/pointgw/net/run/daemon.py
@@ -6,10 +6,10 @@
 import sys
 from pathlib import Path
 
-from pointgw import early
+from pointgw import early_signals
 from pointgw.net.run import log
-from pointgw.net.run.node import run
-from pointgw.net.wire.start import StartUpSettings, parse_start_up_file
+from pointgw.net.run.balancer_process import run
+from pointgw.net.wire.start_up import StartUpSettings, parse_start_up_file
 from pointgw.policy import Balancer
 from pointgw.site import Malformed
 
@@ -24,7 +24,7 @@
     def read() -> StartUpSettings:
         return parse_start_up_file(Path(config).read_bytes())
 
-    early.begin()
+    early_signals.begin()
     try:
         told = read()
     except (OSError, Malformed) as fault:
@@ -32,27 +32,27 @@
         return 2
     operators = None
     if operator is not None:
-        from pointgw.net.run.operated import OperatorFile  # nothing of it is loaded without the file
+        from pointgw.net.run.operator_file import OperatorFile  # nothing of it is loaded without the file
 
         operators = OperatorFile.begin(operator)
         if operators is None:
             return 2
     remembering = None
     if operators is not None and operators.settings.state is not None:
-        from pointgw.net.run.remembering import SnapshotRunner
+        from pointgw.net.run.snapshots import SnapshotRunner
 
         kept = operators.settings.state
         remembering = SnapshotRunner.begin(kept.folder, told, kept.boot)
     tiering = None
     if operators is not None and operators.settings.tier is not None:
-        from pointgw.net.run.tiering import ClusterRunner
+        from pointgw.net.run.cluster import ClusterRunner
 
         tiering = ClusterRunner.begin(operators.settings.tier, told)
         if tiering is None:
             return 2
     recovering = None
     if operators is not None and operators.settings.recovery is not None:
-        from pointgw.net.run.recovering import RecoveryRunner
+        from pointgw.net.run.recovery import RecoveryRunner
 
         recovering = RecoveryRunner.begin(operators.settings.recovery, told)
         if recovering is None:
--- a/pointgw/net/run/discovery.py
+++ b/pointgw/net/run/discovery.py
@@ -7,15 +7,15 @@
 import time
 from typing import TYPE_CHECKING
 
-from pointgw.net.memory.effects import RequestList
-from pointgw.net.memory.events import ListReceived, ListRequestFailed
-from pointgw.net.memory.reducer import ANSWER, REACHED
+from pointgw.net.core.effects import RequestList
+from pointgw.net.core.events import ListReceived, ListRequestFailed
+from pointgw.net.core.reducer import ANSWER, REACHED
 from pointgw.net.run.link import Link
-from pointgw.net.wire import listing
+from pointgw.net.wire import server_list
 from pointgw.site import Malformed
 
 if TYPE_CHECKING:
-    from pointgw.net.run.node import BalancerProcess
+    from pointgw.net.run.balancer_process import BalancerProcess
 
 _log = logging.getLogger("pointgw.discovery")
 
@@ -25,11 +25,11 @@
 
     __slots__ = ("address", "asked", "failing", "link", "names", "node", "response", "task", "timer")
 
-    def __init__(self, node: BalancerProcess, address: tuple[str, int], names: listing.Names) -> None:
+    def __init__(self, node: BalancerProcess, address: tuple[str, int], names: server_list.Names) -> None:
         self.node, self.address, self.names = node, address, names
         self.asked: RequestList | None = None
         self.link: Link | None = None  # the one connection whose bytes count
-        self.response = listing.Response()  # what comes on it
+        self.response = server_list.Response()  # what comes on it
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
         self.failing = False  # the last call failed, and the log says so
@@ -47,7 +47,7 @@
         if self.link is not None:
             self.up()
         else:
-            self.response = listing.Response()
+            self.response = server_list.Response()
             self.link = link = Link(self)
             self.task = self.node.loop.create_task(self._connect(link))
 
@@ -61,7 +61,7 @@
     def up(self) -> None:
         assert self.asked is not None and self.link is not None
         host = f"{self.address[0]}:{self.address[1]}"
-        self.link.send(listing.list_request(host, self.asked.version, self.asked.wait))
+        self.link.send(server_list.list_request(host, self.asked.version, self.asked.wait))
 
     def heard(self, data: bytes) -> None:
         try:
@@ -78,7 +78,7 @@
         else:
             self.failed("connection ended")
 
-    def _answered(self, response: listing.Response) -> None:
+    def _answered(self, response: server_list.Response) -> None:
         if self.asked is None:
             self._close()  # nothing was asked
             return
@@ -86,7 +86,7 @@
             self.failed(f"status {response.status}")
             return
         try:
-            told = listing.parse_server_list_body(bytes(response.data), self.names)
+            told = server_list.parse_server_list_body(bytes(response.data), self.names)
         except Malformed as fault:
             self.failed(str(fault))
             return
--- a/pointgw/net/run/lingering_close.py
+++ b/pointgw/net/run/lingering_close.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from pointgw.net.run import ends
+from pointgw.net.run import tcp
 
 BRIEF = 0.25  # seconds for the other side to end it, where nothing else is said
 PACE = 0.01  # seconds between two buffers of a flood that is read and dropped
@@ -30,10 +30,10 @@
     def read(self, size: int) -> None:
         """So many bytes have come and were dropped."""
         self.spilt += size
-        if self.spilt > ends.FULL_BUFFER:
+        if self.spilt > tcp.FULL_BUFFER:
             self.spilt = 0
-            ends.pause(self.transport)
-            self.loop.call_later(PACE, ends.resume, self.transport)
+            tcp.pause(self.transport)
+            self.loop.call_later(PACE, tcp.resume, self.transport)
 
     def over(self) -> None:
         self.timer.cancel()
--- a/pointgw/net/run/operated.py
+++ b/pointgw/net/run/operator_file.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pointgw import checked, operators
+from pointgw import operators, validation
 
 _log = logging.getLogger("pointgw.operators")
 
@@ -25,7 +25,7 @@
         """None, and a line for each fault on standard error, where the file can't be used."""
         try:
             return cls(path, operators.read(path))
-        except checked.InvalidFileError as faulty:
+        except validation.InvalidFileError as faulty:
             for fault in faulty.problems:
                 print(f"pointgw: {fault.message(path)}", file=sys.stderr)
             return None
@@ -34,7 +34,7 @@
         before = self._fixed()
         try:
             self.settings = operators.read(self.path)
-        except checked.InvalidFileError as faulty:
+        except validation.InvalidFileError as faulty:
             for fault in faulty.problems:
                 _log.error("operators' file refused", extra={"fields": {"why": fault.message(self.path)}})
             return
--- a/pointgw/net/run/probe.py
+++ b/pointgw/net/run/probe.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING
 
 from pointgw.interface import Ending, Report
-from pointgw.net.memory.effects import Address, Probe
-from pointgw.net.memory.events import ProbeEnded
+from pointgw.net.core.effects import Address, Probe
+from pointgw.net.core.events import ProbeEnded
 from pointgw.net.run.link import Link
 from pointgw.net.wire import lines
 from pointgw.site import Malformed
 
 if TYPE_CHECKING:
-    from pointgw.net.run.node import BalancerProcess
+    from pointgw.net.run.balancer_process import BalancerProcess
     from pointgw.net.run.probe_pool import ProbePool
 
 
--- a/pointgw/net/run/probe_pool.py
+++ b/pointgw/net/run/probe_pool.py
@@ -5,12 +5,12 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from pointgw.net.memory.effects import Probe
-from pointgw.net.memory.events import ProbeEnded
+from pointgw.net.core.effects import Probe
+from pointgw.net.core.events import ProbeEnded
 from pointgw.net.run.probe import ProbeSide
 
 if TYPE_CHECKING:
-    from pointgw.net.run.node import BalancerProcess
+    from pointgw.net.run.balancer_process import BalancerProcess
 
 SHARE = 1 / 4  # of the descriptors that this process may hold: clients and attempts need two thirds
 
--- a/pointgw/net/run/recovering.py
+++ b/pointgw/net/run/recovery.py
@@ -15,17 +15,17 @@
 from dataclasses import dataclass
 from random import Random
 
-from pointgw import checked, operators
-from pointgw.net.memory.reducer import Reducer
-from pointgw.net.wire.start import StartUpSettings
+from pointgw import operators, validation
+from pointgw.cluster import settings
+from pointgw.cluster.transport import ClusterTransport as TierVoice
+from pointgw.cluster.wire import MOST_MEMBERS, Keys
+from pointgw.net.core.reducer import Reducer
+from pointgw.net.wire.start_up import StartUpSettings
 from pointgw.policy import Balancer, Tunnel
-from pointgw.recovery import phase, words
-from pointgw.recovery.loans import LEASE_DURATION, LESSOR_MARGIN, Leases
+from pointgw.recovery import messages, phase
+from pointgw.recovery.leases import LEASE_DURATION, LESSOR_MARGIN, Leases
 from pointgw.recovery.phase import Phase, RecoveryPhaseTracker
-from pointgw.recovery.voice import Address, LeaseTransport
-from pointgw.tier import given
-from pointgw.tier.run import ClusterTransport as TierVoice
-from pointgw.tier.wire import MOST_MEMBERS, Keys
+from pointgw.recovery.transport import Address, LeaseTransport
 
 LOOK = 0.5  # of the time that a lender's end lies after the borrower's: between two looks at what waits
 
@@ -51,15 +51,15 @@
     def begin(cls, section: operators.RecoverySection, start: StartUpSettings) -> RecoveryRunner | None:
         """None, and a line for each fault on standard error, where it can't be."""
         try:
-            peers, listen, me = given.endpoints(
+            peers, listen, me = settings.endpoints(
                 "recovery", section, start.peers, start.peer_listen, start.balancer_index
             )
             if not 0 <= me < len(peers) <= MOST_MEMBERS:
                 what = f"a list of at most {MOST_MEMBERS} with this balancer's own address in it"
-                fault = checked.InvalidValue("recovery.peers", str(len(peers)), what)
-                raise checked.InvalidFileError("operators' file", [fault])
-            return cls(section, given.read_keys(section.key_file), peers, listen, me)
-        except checked.InvalidFileError as faulty:
+                fault = validation.InvalidValue("recovery.peers", str(len(peers)), what)
+                raise validation.InvalidFileError("operators' file", [fault])
+            return cls(section, settings.read_keys(section.key_file), peers, listen, me)
+        except validation.InvalidFileError as faulty:
             for fault in faulty.problems:
                 print(f"pointgw: {fault.message(faulty.file)}", file=sys.stderr)
             return None
@@ -84,7 +84,7 @@
             voice = LeaseTransport(loans, self.keys, self.peers, loop, self._changed)
             if tier is not None and tier.transport is not None:
                 voice.transport = tier.transport
-                tier.others[words.MAGIC] = voice.datagram_received
+                tier.others[messages.MAGIC] = voice.datagram_received
             else:
                 try:
                     await voice.listen(self.listen)
--- a/pointgw/net/run/server.py
+++ b/pointgw/net/run/server.py
@@ -6,16 +6,16 @@
 from typing import TYPE_CHECKING, cast
 
 from pointgw.interface import Ending
-from pointgw.net.memory.effects import Connect
-from pointgw.net.memory.events import LoadReported, ServerSlow, SetupConnected, SetupEnded, SetupOpened
-from pointgw.net.run import ends
+from pointgw.net.core.effects import Connect
+from pointgw.net.core.events import LoadReported, ServerSlow, SetupConnected, SetupEnded, SetupOpened
+from pointgw.net.run import tcp
 from pointgw.net.run.client import ClientSide
-from pointgw.net.run.life import ConnectionLifecycle, ConnectionState
+from pointgw.net.run.connection_state import ConnectionLifecycle, ConnectionState
 from pointgw.net.wire import lines
 from pointgw.site import Malformed
 
 if TYPE_CHECKING:
-    from pointgw.net.run.node import BalancerProcess
+    from pointgw.net.run.balancer_process import BalancerProcess
 
 
 class ServerSide(asyncio.Protocol):
@@ -56,7 +56,7 @@
         if self.life.state is not ConnectionState.DIALLING:
             self.transport.abort()  # given up while it came up
             return
-        self.transport.set_write_buffer_limits(ends.FULL_BUFFER)
+        self.transport.set_write_buffer_limits(tcp.FULL_BUFFER)
         if not self.client.found_gone():  # else its end was fed, and this is dropped by it
             self.node.feed(SetupConnected(self.asked.client, self.asked.setup))
 
@@ -83,7 +83,7 @@
                 self._end("error")
         if self.life.state is ConnectionState.JOINED:
             self._lines()
-        elif len(self.buffer) > ends.FULL_BUFFER:  # guards memory where its client was not joined
+        elif len(self.buffer) > tcp.FULL_BUFFER:  # guards memory where its client was not joined
             self._end(self.life.disconnect_ending())
 
     def _first_line(self) -> None:
@@ -140,10 +140,10 @@
     def hold_back(self) -> None:
         """Its client is slow to read: not read itself meanwhile, and not taken to be silent."""
         self.waits_since = None
-        ends.pause(self.transport)
+        tcp.pause(self.transport)
 
     def go_on(self) -> None:
-        ends.resume(self.transport)
+        tcp.resume(self.transport)
 
     def look(self, now: float) -> None:
         """By the clock: a server that has brought nothing back for long may be gone."""
@@ -159,7 +159,7 @@
         if self.transport is None:
             return
         if reset:
-            ends.reset(self.transport)
+            tcp.reset(self.transport)
         elif joined:
             self.node.connections.linger(self, self.transport)
         else:
@@ -196,11 +196,11 @@
 
     def pause_writing(self) -> None:
         if self.life.state is ConnectionState.JOINED:
-            ends.pause(self.client.transport)
+            tcp.pause(self.client.transport)
 
     def resume_writing(self) -> None:
         if self.life.state is ConnectionState.JOINED:
-            ends.resume(self.client.transport)
+            tcp.resume(self.client.transport)
 
     def eof_received(self) -> None:
         self._end(self.life.disconnect_ending())
--- a/pointgw/net/run/remembering.py
+++ b/pointgw/net/run/snapshots.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from pointgw.net.memory.reducer import Reducer
-from pointgw.net.memory.start_times import SAME
-from pointgw.net.wire.start import StartUpSettings
+from pointgw.net.core.reducer import Reducer
+from pointgw.net.core.start_times import SAME
+from pointgw.net.wire.start_up import StartUpSettings
 from pointgw.policy import Balancer
-from pointgw.state import facts, keeper
-from pointgw.state.recall import MembershipView, RestoredState, records_of_list, restore
-from pointgw.state.store import SnapshotStore
+from pointgw.state import records, snapshot_writer
+from pointgw.state.restore import MembershipView, RestoredState, records_of_list, restore
+from pointgw.state.snapshot_store import SnapshotStore
 
 _log = logging.getLogger("pointgw.state")
 
@@ -34,16 +34,16 @@
     membership: MembershipView
     restored: RestoredState | None
     run: str  # of this machine
-    writer: keeper.SnapshotWriter | None = None
+    writer: snapshot_writer.SnapshotWriter | None = None
 
     @classmethod
     def begin(cls, folder: str, start: StartUpSettings, boot: str = "") -> SnapshotRunner | None:
         """None, with a line of the log, where the folder can't be used."""
-        held = keeper.open_store(folder, start.name)
+        held = snapshot_writer.open_store(folder, start.name)
         if held is None:
             return None
         store, found = held
-        mark = facts.fingerprint(start.names.zones, start.profiles)
+        mark = records.fingerprint(start.names.zones, start.profiles)
         known = records_of_list(start.known_list.servers, start.known_list.addresses)
         now, recalled, run = time.time(), None, machine_run(boot)
         if found.snapshot is None:
@@ -70,17 +70,19 @@
     ) -> None:
         """`clock`: the process's own, which goes on evenly where the wall clock steps."""
 
-        def take(clean: bool) -> facts.Snapshot:
+        def take(clean: bool) -> records.Snapshot:
             now, wall = clock(), time.time()
             stepped = wall - now if abs(wall - now) > SAME else 0.0
             discovery = reducer.discovery  # the one in force: a reload may have turned
-            return facts.Snapshot(
+            return records.Snapshot(
                 self.fingerprint, wall, reducer.index, f"{discovery[0]}:{discovery[1]}", clean,
                 in_wall_time(self.membership.kept(now), stepped), health(reducer.balancer, now, stepped),
                 figures(reducer.balancer), self.membership.lives, self.run,
             )  # fmt: skip
 
-        self.writer = keeper.SnapshotWriter(self.store, take, lambda: self.membership.change_count, loop)
+        self.writer = snapshot_writer.SnapshotWriter(
+            self.store, take, lambda: self.membership.change_count, loop
+        )
 
     async def stop(self) -> None:
         if self.writer is not None:
@@ -96,7 +98,7 @@
         return ""
 
 
-def in_wall_time(kept: tuple[facts.ServerRecord, ...], stepped: float) -> tuple[facts.ServerRecord, ...]:
+def in_wall_time(kept: tuple[records.ServerRecord, ...], stepped: float) -> tuple[records.ServerRecord, ...]:
     """Facts whose times are of the process's clock, which the wall clock has left by so much."""
     if not stepped:
         return kept
@@ -108,10 +110,10 @@
     )
 
 
-def health(balancer: Balancer, now: float, stepped: float = 0.0) -> tuple[facts.ServerHealth, ...]:
+def health(balancer: Balancer, now: float, stepped: float = 0.0) -> tuple[records.ServerHealth, ...]:
     """Of the servers that are suspended, have strikes, or are cold; a doubted one has learned nothing yet."""
     return tuple(
-        facts.ServerHealth(
+        records.ServerHealth(
             ep.name,
             ep.started_at,
             ep.recent_failures,
@@ -124,8 +126,8 @@
     )
 
 
-def figures(balancer: Balancer) -> facts.LearnedFigures:
-    return facts.LearnedFigures(
+def figures(balancer: Balancer) -> records.LearnedFigures:
+    return records.LearnedFigures(
         balancer.c, balancer.load_per_tunnel, balancer.arrival_rate, 0.0, 0, balancer.slow_start_rate
     )
 
--- a/pointgw/net/wire/start.py
+++ b/pointgw/net/wire/start_up.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from pointgw.interface import Site
-from pointgw.net.wire.listing import Names, ServerList, parse_server_list
+from pointgw.net.wire.server_list import Names, ServerList, parse_server_list
 from pointgw.site import Fields, Malformed, seconds, site
 
 
--- a/pointgw/operators.py
+++ b/pointgw/operators.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from pointgw import checked
+from pointgw import validation
 
 
 class LogSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -70,5 +70,5 @@
 
 
 def read(path: str) -> OperatorSettings:
-    """Raises `checked.InvalidFileError` with all that is wrong."""
-    return checked.read(Path(path), OperatorSettings)
+    """Raises `validation.InvalidFileError` with all that is wrong."""
+    return validation.read(Path(path), OperatorSettings)
--- a/pointgw/recovery/words.py
+++ b/pointgw/recovery/messages.py
@@ -1,4 +1,4 @@
-"""One datagram about a loan: the tier's envelope (`pointgw.tier.wire`) under a name of its own.
+"""One datagram about a loan: the tier's envelope (`pointgw.cluster.wire`) under a name of its own.
 
     "pl" VERSION KEY | 16 bytes of keyed BLAKE2b over all the rest | MessagePack of a `LeaseMessage`
 
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from pointgw.tier.wire import Count, Keys, Number, RefusedDatagramError, Run, Struct
+from pointgw.cluster.wire import Count, Keys, Number, RefusedDatagramError, Run, Struct
 
 MAGIC = b"pl"
 
--- a/pointgw/recovery/voice.py
+++ b/pointgw/recovery/transport.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from typing import cast
 
-from pointgw.recovery import words
-from pointgw.recovery.loans import Leases
-from pointgw.recovery.words import LeaseMessage
-from pointgw.tier.wire import Keys, RefusedDatagramError
+from pointgw.cluster.wire import Keys, RefusedDatagramError
+from pointgw.recovery import messages
+from pointgw.recovery.leases import Leases
+from pointgw.recovery.messages import LeaseMessage
 
 Address = tuple[str, int]
 
@@ -43,28 +43,28 @@
             self.figures["refused: unsigned, from elsewhere"] += 1
             return
         try:
-            word = words.unseal(data, self.keys)
+            word = messages.unseal(data, self.keys)
         except RefusedDatagramError as why:
             self.figures[f"refused: {why}"] += 1
             return
         loans, now = self.leases, self.loop.time()
         if word.to != loans.me or word.balancers != loans.count or word.sender >= loans.count:
             self.figures["refused: another tier's"] += 1
-        elif word.what == words.ASK and loans.receive_request(word.sender, now):
+        elif word.what == messages.ASK and loans.receive_request(word.sender, now):
             self.changed(now)  # first: what is lent is not used here any more
-            self._say(words.LEND, word.sender, word.number)
-        elif word.what == words.LEND and loans.receive_grant(word.sender, word.number, now):
+            self._say(messages.LEND, word.sender, word.number)
+        elif word.what == messages.LEND and loans.receive_grant(word.sender, word.number, now):
             self.changed(now)
 
     def ask(self, needs: bool, idle: bool) -> None:
         for lender, number in self.leases.requests_due(needs, idle, self.loop.time()):
-            self._say(words.ASK, lender, number)
+            self._say(messages.ASK, lender, number)
 
-    def _say(self, what: words.What, to: int, number: int) -> None:
+    def _say(self, what: messages.What, to: int, number: int) -> None:
         word = LeaseMessage(what, self.leases.me, to, number, self.leases.count)
         if self.transport is not None and not self.transport.is_closing():
             self.figures["sent"] += 1
-            self.transport.sendto(words.seal(word, self.keys), self.peers[to])
+            self.transport.sendto(messages.seal(word, self.keys), self.peers[to])
 
     def error_received(self, exc: Exception) -> None:
         self.figures["not delivered"] += 1  # nobody listens there
--- a/pointgw/drill/__main__.py
+++ b/pointgw/simulator_adapter/__main__.py
@@ -1,5 +1,5 @@
 import sys
 
-from pointgw.drill.host import serve
+from pointgw.simulator_adapter.host import serve
 
 sys.exit(serve(sys.stdin.buffer, sys.stdout, sys.stderr))
--- a/pointgw/drill/host.py
+++ b/pointgw/simulator_adapter/host.py
@@ -10,9 +10,9 @@
 from typing import IO, TextIO
 
 from pointgw import site
-from pointgw.drill import codec
 from pointgw.interface import ServerEntry
 from pointgw.policy import Balancer, Server, Tunnel
+from pointgw.simulator_adapter import codec
 from pointgw.site import Fields, Malformed
 
 
--- a/pointgw/state/trust.py
+++ b/pointgw/state/confidence.py
@@ -10,7 +10,7 @@
 
 from enum import Enum
 
-from pointgw.state.facts import ServerLifetimes, ServerRecord, Snapshot
+from pointgw.state.records import ServerLifetimes, ServerRecord, Snapshot
 
 FRESH = 30.0  # seconds in which an entry is as good as live: what a restart takes
 SURE = 0.5
--- a/pointgw/state/merge.py
+++ b/pointgw/state/merge.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterable
 
-from pointgw.state.facts import ServerRecord
+from pointgw.state.records import ServerRecord
 
 RANK = {"active": 0, "leaving": 1, "left": 2}
 
--- a/pointgw/state/recall.py
+++ b/pointgw/state/restore.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from pointgw.interface import ServerEntry
-from pointgw.state.facts import LearnedFigures, ServerHealth, ServerLifetimes, ServerRecord, Snapshot
+from pointgw.state.confidence import RecordStanding, standing, still_warm, trust
 from pointgw.state.merge import better, merge
-from pointgw.state.trust import RecordStanding, standing, still_warm, trust
+from pointgw.state.records import LearnedFigures, ServerHealth, ServerLifetimes, ServerRecord, Snapshot
 
 KEPT_AWAY = 7 * 86_400.0  # seconds that a server told away is remembered, if nothing was heard of it
 MOST = 50_000  # facts that are kept; the oldest of those told away go first
--- a/pointgw/state/form.py
+++ b/pointgw/state/snapshot_format.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from pointgw.state.facts import Snapshot
+from pointgw.state.records import Snapshot
 
 MAGIC = b"pointgw-state"
 VERSION = 1
--- a/pointgw/state/store.py
+++ b/pointgw/state/snapshot_store.py
@@ -14,8 +14,8 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from pointgw.state.facts import Snapshot
-from pointgw.state.form import LARGEST, DamagedSnapshotError, NewerVersionError, decode
+from pointgw.state.records import Snapshot
+from pointgw.state.snapshot_format import LARGEST, DamagedSnapshotError, NewerVersionError, decode
 
 KEPT = 2  # generations
 PREFIX, ASIDE, OWNER = "state.", "state-new", "owner"
--- a/pointgw/state/keeper.py
+++ b/pointgw/state/snapshot_writer.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 from queue import SimpleQueue
 
-from pointgw.state.facts import Snapshot
-from pointgw.state.form import NewerVersionError, encode
-from pointgw.state.store import FolderInUseError, LoadResult, SnapshotStore
+from pointgw.state.records import Snapshot
+from pointgw.state.snapshot_format import NewerVersionError, encode
+from pointgw.state.snapshot_store import FolderInUseError, LoadResult, SnapshotStore
 
 NEWS_EVERY = 1.0  # seconds within which news of the roster is durable
 FIGURES_EVERY = 10.0
--- a/pointgw/rig/alone.py
+++ b/pointgw/testbed/alone.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from pointgw.rig import start_up
-from pointgw.rig.discovery import Discovery
-from pointgw.rig.layout import Address, shown
-from pointgw.rig.records import Writer
-from pointgw.rig.roster import Line
-from pointgw.rig.scenario import Fleet, Kind, Scenario
-from pointgw.rig.server import Server
+from pointgw.testbed import start_up
+from pointgw.testbed.discovery import Discovery
+from pointgw.testbed.layout import Address, shown
+from pointgw.testbed.records import Writer
+from pointgw.testbed.roster import Line
+from pointgw.testbed.scenario import Fleet, Kind, Scenario
+from pointgw.testbed.server import Server
 
 
 class Alone:
--- a/pointgw/rig/child.py
+++ b/pointgw/testbed/child.py
@@ -15,7 +15,7 @@
 import msgspec
 import uvloop
 
-from pointgw.rig.records import Strain, Writer
+from pointgw.testbed.records import Strain, Writer
 
 NAP = 0.05  # seconds between two looks at how late the loop is
 
--- a/pointgw/rig/clients.py
+++ b/pointgw/testbed/clients.py
@@ -13,15 +13,15 @@
 
 import msgspec
 
-from pointgw.net.run import ends
+from pointgw.net.run import tcp
 from pointgw.net.run.lingering_close import finish
 from pointgw.net.wire.lines import END, cut
-from pointgw.rig import child
-from pointgw.rig.demand import Wish, back_off, wishes
-from pointgw.rig.front import Door, Seen, deal
-from pointgw.rig.records import Answered, Asked, Ended, Further, Second, Writer
-from pointgw.rig.scenario import Scenario
 from pointgw.site import Malformed
+from pointgw.testbed import child
+from pointgw.testbed.demand import Wish, back_off, wishes
+from pointgw.testbed.front import Door, Seen, deal
+from pointgw.testbed.records import Answered, Asked, Ended, Further, Second, Writer
+from pointgw.testbed.scenario import Scenario
 
 PING_EVERY, PING_WITHIN = 0.4, 0.5  # seconds
 LOOK = 0.25  # seconds between two looks at who is served well
@@ -170,7 +170,7 @@
         """A slow reader takes a little now and then, and asks for much."""
         if self.transport is None or self.transport.is_closing() or self.client.side is not self:
             return
-        ends.resume(self.transport)
+        tcp.resume(self.transport)
         if self.answered and self.client.mood is Mood.OPEN:
             self.transport.write(b"".join(b"f%06d%s" % (i, b"x" * 90 + END) for i in range(FLOOD)))
         self.client.here.loop.call_later(SIP, self._sip)
@@ -184,7 +184,7 @@
     def data_received(self, data: bytes) -> None:
         self.buffer += data
         if self.client.wish.slow and self.answered:
-            ends.pause(self.transport)
+            tcp.pause(self.transport)
         try:
             while (line := cut(self.buffer)) is not None:
                 self._line(line)
@@ -253,7 +253,7 @@
         if self.client.mood is Mood.OPEN:
             self._ended("own")
             if self.transport is not None:
-                ends.reset(self.transport)
+                tcp.reset(self.transport)
             self.client.broke()
 
     def _ended(self, how: Literal["own", "moved", "bye", "lost"]) -> None:
--- a/pointgw/rig/demand.py
+++ b/pointgw/testbed/demand.py
@@ -11,7 +11,7 @@
 from math import exp
 from random import Random
 
-from pointgw.rig.scenario import Demand, Scenario
+from pointgw.testbed.scenario import Demand, Scenario
 
 STANDING_WITHIN = 3.0  # seconds in which those that stand from the start come
 
--- a/pointgw/rig/discovery.py
+++ b/pointgw/testbed/discovery.py
@@ -13,10 +13,10 @@
 
 import httptools
 
-from pointgw.net.run import ends
-from pointgw.rig import child
-from pointgw.rig.records import Changed, Writer, Wrote
-from pointgw.rig.roster import Line, Roster, Serving
+from pointgw.net.run import tcp
+from pointgw.testbed import child
+from pointgw.testbed.records import Changed, Writer, Wrote
+from pointgw.testbed.roster import Line, Roster, Serving
 
 LATE = 3.0  # seconds that an answer takes while late
 LONGEST_HOLD = 60.0
@@ -53,7 +53,7 @@
         self.url = b""
         serving = self.here.roster.serving
         if serving is Serving.RESET:
-            ends.reset(self.transport)
+            tcp.reset(self.transport)
         elif serving is Serving.BUSY:
             self.write(503, b"busy")
         elif serving is not Serving.SILENT:
@@ -126,13 +126,13 @@
             case "lower":
                 self.roster.restart_lower()
                 for call in list(self.calls):
-                    ends.reset(call.transport)
+                    tcp.reset(call.transport)
             case what:
                 raise ValueError(f"unknown command {what!r}")
         if self.roster.serving in (Serving.RESET, Serving.BUSY):
             for call in list(self.calls):
                 if call.waits:
-                    ends.reset(call.transport)
+                    tcp.reset(call.transport)
         elif self.roster.serving is not Serving.SILENT:
             for call in list(self.calls):
                 if call.waits:
--- a/pointgw/rig/links.py
+++ b/pointgw/testbed/links.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from pointgw.faultbox.box import Box
-from pointgw.faultbox.script import Script
-from pointgw.rig import child
-from pointgw.rig.records import Writer
+from pointgw.fault_proxy.box import Box
+from pointgw.fault_proxy.script import Script
+from pointgw.testbed import child
+from pointgw.testbed.records import Writer
 
 
 async def part(told: child.Told, writer: Writer) -> child.Take:
--- a/pointgw/rig/meta.py
+++ b/pointgw/testbed/meta.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pointgw.rig.scenario import Scenario
+from pointgw.testbed.scenario import Scenario
 
 
 @dataclass(frozen=True, slots=True)
--- a/pointgw/rig/peers.py
+++ b/pointgw/testbed/peers.py
@@ -11,8 +11,8 @@
 from random import Random
 from typing import cast
 
-from pointgw.rig import child
-from pointgw.rig.records import Talk, Writer
+from pointgw.testbed import child
+from pointgw.testbed.records import Talk, Writer
 
 KEPT = 400  # datagrams of each way that may be played again
 
--- a/pointgw/rig/play.py
+++ b/pointgw/testbed/play.py
@@ -17,14 +17,14 @@
 
 import msgspec
 
-from pointgw.rig import start_up
-from pointgw.rig.baseline import POLICIES
-from pointgw.rig.layout import Address, Layout, shown
-from pointgw.rig.meta import Meta
-from pointgw.rig.records import Balancer, Machine, Mark, Writer
-from pointgw.rig.roster import Line
-from pointgw.rig.scenario import Fleet, Scenario
-from pointgw.rig.timeline import Moment, moments
+from pointgw.testbed import start_up
+from pointgw.testbed.baseline import POLICIES
+from pointgw.testbed.layout import Address, Layout, shown
+from pointgw.testbed.meta import Meta
+from pointgw.testbed.records import Balancer, Machine, Mark, Writer
+from pointgw.testbed.roster import Line
+from pointgw.testbed.scenario import Fleet, Scenario
+from pointgw.testbed.timeline import Moment, moments
 
 READY = 20.0  # seconds that a part has to be ready
 AFTER = 2.5  # seconds after the end in which last answers still come
@@ -131,7 +131,11 @@
 
     async def _play(self) -> Meta:
         self.keeper = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "pointgw.rig.keeper", stdin=asyncio.subprocess.PIPE, start_new_session=True
+            sys.executable,
+            "-m",
+            "pointgw.testbed.keeper",
+            stdin=asyncio.subprocess.PIPE,
+            start_new_session=True,
         )
         await asyncio.gather(*(self._start_server(i, 0.0) for i in range(self.fleet.servers)))
         await self._start_discovery()
@@ -252,7 +256,7 @@
             self._fail(Void(f"{part.who} of the rig ended by itself (exit {code}); see {self.folder}"))
 
     async def _part(self, who: str, module: str, told: dict[str, Any]) -> Part:
-        command = [sys.executable, "-O", "-m", f"pointgw.rig.{module}"]
+        command = [sys.executable, "-O", "-m", f"pointgw.testbed.{module}"]
         part = await self._spawn_part(who, command, f"{who}.log", {})
         records = str(self.folder / f"{who}.jsonl")
         part.tell({"who": who, "seed": self.scenario.seed, "records": records} | told)
@@ -312,7 +316,7 @@
         )  # fmt: skip
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(told, indent=1))
-        module = ["pointgw"] if self.policy == "srlb" else ["pointgw.rig.baseline", self.policy]
+        module = ["pointgw"] if self.policy == "srlb" else ["pointgw.testbed.baseline", self.policy]
         command = [sys.executable, "-O", "-m", *module]
         env = {"GW_CONFIG": str(path)}
         sections = ""
--- a/pointgw/rig/plot.py
+++ b/pointgw/testbed/plot.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from pointgw.rig.results import Result
+from pointgw.testbed.results import Result
 
 
 def draw(results: list[Result], path: Path) -> None:
--- a/pointgw/rig/referee.py
+++ b/pointgw/testbed/referee.py
@@ -16,11 +16,11 @@
 
 import msgspec
 
-from pointgw.rig import records as rec
-from pointgw.rig.demand import median_work
-from pointgw.rig.machine import SLACK as COLD_SLACK
-from pointgw.rig.meta import Meta
-from pointgw.rig.scenario import Profile
+from pointgw.testbed import records as rec
+from pointgw.testbed.demand import median_work
+from pointgw.testbed.machine import SLACK as COLD_SLACK
+from pointgw.testbed.meta import Meta
+from pointgw.testbed.scenario import Profile
 
 LATE = 0.05  # seconds beyond each limit that sockets and timers take
 DEEMED = 6.0  # seconds after which what discovery has to tell counts as told
--- a/pointgw/rig/results.py
+++ b/pointgw/testbed/results.py
@@ -14,9 +14,9 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from pointgw.rig import records as rec
-from pointgw.rig.meta import Meta
-from pointgw.rig.referee import Verdict, report
+from pointgw.testbed import records as rec
+from pointgw.testbed.meta import Meta
+from pointgw.testbed.referee import Verdict, report
 
 SETTLED = 5.0  # seconds from the start that count as filling up
 BACK = 0.97  # of the service before a trouble at which it counts as over
--- a/pointgw/rig/scenario.py
+++ b/pointgw/testbed/scenario.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from pointgw import checked
-from pointgw.faultbox.script import Rule
+from pointgw import validation
+from pointgw.fault_proxy.script import Rule
 
 Over = Annotated[float, msgspec.Meta(gt=0.0, le=1e6)]
 NotUnder = Annotated[float, msgspec.Meta(ge=0.0, le=1e6)]
@@ -171,14 +171,14 @@
 
 
 def read(name: str) -> Scenario:
-    """A scenario by its path, or by its name in the library. Raises `checked.InvalidFileError`."""
+    """A scenario by its path, or by its name in the library. Raises `validation.InvalidFileError`."""
     path = Path(name)
     if not path.suffix and not path.exists():
         if name not in library():
             known = "a file, or one of " + ", ".join(library())
-            raise checked.InvalidFileError(name, [checked.InvalidValue("", "", known)])
+            raise validation.InvalidFileError(name, [validation.InvalidValue("", "", known)])
         path = LIBRARY / f"{name}.toml"
-    return checked.read(path, Scenario)
+    return validation.read(path, Scenario)
 
 
 def library() -> list[str]:
--- a/pointgw/rig/server.py
+++ b/pointgw/testbed/server.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from pointgw.net.run import ends
+from pointgw.net.run import tcp
 from pointgw.net.run.lingering_close import finish
 from pointgw.net.wire.lines import END, MOVE, cut
-from pointgw.rig import child
-from pointgw.rig.machine import Health, Held, Machine, Make
-from pointgw.rig.records import Fell, Gone, Said, Started, State, Took, Writer
 from pointgw.site import Malformed
+from pointgw.testbed import child
+from pointgw.testbed.machine import Health, Held, Machine, Make
+from pointgw.testbed.records import Fell, Gone, Said, Started, State, Took, Writer
 
 TURN = 0.02  # seconds between two turns of the machine
 DRAIN_STEP = 0.25  # seconds between two rounds of MOVE while draining
@@ -65,7 +65,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self.began = time.monotonic()
         if self.server.machine.health is Health.FALLEN:
-            ends.reset(self.transport)
+            tcp.reset(self.transport)
 
     def data_received(self, data: bytes) -> None:
         if self.stage is Stage.OVER:
@@ -130,7 +130,7 @@
             self.server.gone(self, by)
         self.to(Stage.OVER)
         if reset:
-            ends.reset(self.transport)
+            tcp.reset(self.transport)
         elif by == "server":
             finish(self.transport)
         else:
--- a/pointgw/rig/start_up.py
+++ b/pointgw/testbed/start_up.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from pointgw.rig.demand import median_work
-from pointgw.rig.layout import Address, shown
-from pointgw.rig.machine import Make
-from pointgw.rig.roster import Line, entry
-from pointgw.rig.scenario import Scenario, settings
+from pointgw.testbed.demand import median_work
+from pointgw.testbed.layout import Address, shown
+from pointgw.testbed.machine import Make
+from pointgw.testbed.roster import Line, entry
+from pointgw.testbed.scenario import Scenario, settings
 
 DESCRIPTORS = 60_000  # that a balancer is told it may hold
 
--- a/pointgw/rig/table.py
+++ b/pointgw/testbed/table.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pointgw.rig.results import Result, compare, spread
+from pointgw.testbed.results import Result, compare, spread
 
 
 def rows(results: list[Result]) -> list[str]:
--- a/pointgw/rig/timeline.py
+++ b/pointgw/testbed/timeline.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from pointgw.rig.scenario import Scenario, Trouble
+from pointgw.testbed.scenario import Scenario, Trouble
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/crossing/test_crowd.py
+++ b/tests/crossing/test_crowd.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from crossing.world import Conn, World, opening
-from pointgw.net.memory.reducer import TOLD_WITHIN
+from pointgw.net.core.reducer import TOLD_WITHIN
 
 ALLOWED = 128  # descriptors of the process
 CROWD = 6 * ALLOWED
--- a/tests/crossing/test_hand_over.py
+++ b/tests/crossing/test_hand_over.py
@@ -7,9 +7,9 @@
 import pytest
 
 from crossing.world import HeldLoop, World, opening, play, turns, until
+from pointgw.net.core import events as ev
 from pointgw.net.invariant import violations
-from pointgw.net.memory import events as ev
-from pointgw.net.run.node import BalancerProcess
+from pointgw.net.run.balancer_process import BalancerProcess
 from pointgw.net.wire.lines import LONGEST
 
 
--- a/tests/crossing/test_idle.py
+++ b/tests/crossing/test_idle.py
@@ -10,9 +10,9 @@
 import pytest
 
 from crossing.world import Conn, HeldLoop, World, opening, play, turns, until
-from pointgw.net.memory.effects import Probe
-from pointgw.net.memory.events import ProbeEnded
-from pointgw.net.run.node import BalancerProcess
+from pointgw.net.core.effects import Probe
+from pointgw.net.core.events import ProbeEnded
+from pointgw.net.run.balancer_process import BalancerProcess
 
 REPORT = b"PONG util=0.2,qps=1,x0=0.2\r\n"
 
--- a/tests/crossing/test_list_entries.py
+++ b/tests/crossing/test_list_entries.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from crossing.world import HeldLoop, World, play, turns, until
-from pointgw.net.run.node import BalancerProcess
-from pointgw.net.wire.start import parse_start_up_file
+from pointgw.net.run.balancer_process import BalancerProcess
+from pointgw.net.wire.start_up import parse_start_up_file
 
 ODD: tuple[dict[str, Any], ...] = (
     {"weight": None},
--- a/tests/crossing/test_own_faults.py
+++ b/tests/crossing/test_own_faults.py
@@ -11,7 +11,7 @@
 from crossing.world import HeldLoop, World, opening, play, until
 from pointgw.net.invariant import violations
 from pointgw.net.run import server as server_module
-from pointgw.net.run.node import BalancerProcess
+from pointgw.net.run.balancer_process import BalancerProcess
 from pointgw.net.run.periodic import Periodic
 from pointgw.policy import Balancer
 
--- a/tests/crossing/test_probe_connections.py
+++ b/tests/crossing/test_probe_connections.py
@@ -8,8 +8,8 @@
 
 from crossing.daemon import answer_requests
 from crossing.world import HeldLoop, World, opening, play, until
-from pointgw.net.memory.effects import Probe
-from pointgw.net.run.node import BalancerProcess
+from pointgw.net.core.effects import Probe
+from pointgw.net.run.balancer_process import BalancerProcess
 
 SERVERS = 600
 DESCRIPTORS = 256
--- a/tests/crossing/test_setup.py
+++ b/tests/crossing/test_setup.py
@@ -9,9 +9,9 @@
 import pytest
 
 from crossing.world import HeldLoop, World, opening, play, turns, until
-from pointgw.net.memory import events as ev
-from pointgw.net.run import ends
-from pointgw.net.run.node import BalancerProcess
+from pointgw.net.core import events as ev
+from pointgw.net.run import tcp
+from pointgw.net.run.balancer_process import BalancerProcess
 
 ONCE = {"semantics": "side_effect"}
 GONE = 0.1  # seconds after which nothing of a client that has left may be sent on
@@ -119,7 +119,7 @@
         (side,) = node.clients.values()
         side.transport.pause_reading()  # its end is not read for as long as this lasts
         getattr(client, how)()
-        await until(lambda: ends.ended(side.transport))
+        await until(lambda: tcp.ended(side.transport))
         loop.before.set()
         await until(lambda: not node.servers)
         await turns()
@@ -138,7 +138,7 @@
         (side,) = node.clients.values()
         side.transport.pause_reading()
         getattr(client, how)()
-        await until(lambda: ends.ended(side.transport))
+        await until(lambda: tcp.ended(side.transport))
         server.say(b"BUSY\r\n")
         await until(lambda: not node.reducer.clients)
         await turns()
--- a/tests/crossing/test_shutdown.py
+++ b/tests/crossing/test_shutdown.py
@@ -15,9 +15,9 @@
 import pytest
 
 from crossing.world import HeldLoop, World, opening, play, turns, until
-from pointgw.net.memory import effects as fx
-from pointgw.net.memory.reducer import ARRIVE_ON
-from pointgw.net.run.node import BalancerProcess
+from pointgw.net.core import effects as fx
+from pointgw.net.core.reducer import ARRIVE_ON
+from pointgw.net.run.balancer_process import BalancerProcess
 
 STALL = {"setupGoal": 100.0, "clientTimeout": 300.0}  # the shortest stop: 0.9 s
 
--- a/tests/crossing/test_size.py
+++ b/tests/crossing/test_size.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from crossing.world import HeldLoop, World, play, until
-from pointgw.net.run.node import BalancerProcess
+from pointgw.net.run.balancer_process import BalancerProcess
 
 MANY = 1024
 LIST_WITHIN = 2.0  # seconds from discovery's answer until it is applied; a quarter of it on an idle core
--- a/tests/crossing/test_start.py
+++ b/tests/crossing/test_start.py
@@ -13,7 +13,7 @@
 
 from crossing.daemon import PORT, Daemon, beside_daemon
 from crossing.world import Discovery, World
-from pointgw.net.wire.start import parse_start_up_file
+from pointgw.net.wire.start_up import parse_start_up_file
 from pointgw.site import Malformed
 
 
--- a/tests/crossing/test_watch.py
+++ b/tests/crossing/test_watch.py
@@ -10,11 +10,11 @@
 import pytest
 
 from crossing.world import Call, HeldLoop, World, opening, play, turns, until
-from pointgw.net.memory.events import SettingsReloaded
-from pointgw.net.memory.reducer import NEXT_CALL, TOLD_AFTER_WAIT, TOLD_WITHIN
+from pointgw.net.core.events import SettingsReloaded
+from pointgw.net.core.reducer import NEXT_CALL, TOLD_AFTER_WAIT, TOLD_WITHIN
+from pointgw.net.run.balancer_process import BalancerProcess
 from pointgw.net.run.link import Link
-from pointgw.net.run.node import BalancerProcess
-from pointgw.net.wire.listing import LONGEST_HEAD
+from pointgw.net.wire.server_list import LONGEST_HEAD
 
 CONNECTION = Link
 ASKED = {"askEvery": 4000.0}  # a watch waits 2 s
--- a/tests/crossing/world.py
+++ b/tests/crossing/world.py
@@ -12,8 +12,8 @@
 
 import uvloop
 
-from pointgw.net.run.node import BalancerProcess
-from pointgw.net.wire.start import parse_start_up_file
+from pointgw.net.run.balancer_process import BalancerProcess
+from pointgw.net.wire.start_up import parse_start_up_file
 
 PROFILE = {"name": "chat", "semantics": "pure", "setupGoal": 200.0, "clientTimeout": 1500.0, "group": "all"}
 NO_LINGER = struct.pack("ii", 1, 0)
--- a/tests/filling_world.py
+++ b/tests/filling_world.py
@@ -17,7 +17,7 @@
 from helpers import Notes, site
 from pointgw.interface import ServerEntry
 from pointgw.policy import COLD_SAFE, Balancer, Server, State, Tunnel
-from pointgw.recovery.loans import Leases
+from pointgw.recovery.leases import Leases
 from virtual_clock import VirtualClock
 
 WARM = 60  # tunnels that a warm server bears
--- a/tests/fleet/stage.py
+++ b/tests/fleet/stage.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from pointgw.rig import records as rec
-from pointgw.rig.meta import Meta
-from pointgw.rig.play import Play
-from pointgw.rig.referee import Verdict, judge
-from pointgw.rig.results import Result, result
-from pointgw.rig.scenario import Demand, Fleet, Kind, Scenario, Trouble
+from pointgw.testbed import records as rec
+from pointgw.testbed.meta import Meta
+from pointgw.testbed.play import Play
+from pointgw.testbed.referee import Verdict, judge
+from pointgw.testbed.results import Result, result
+from pointgw.testbed.scenario import Demand, Fleet, Kind, Scenario, Trouble
 
 AT_ONCE = 3  # cases that a machine of eight cores plays side by side without strain, others on it too
 APART = 1.5  # seconds between their starts, so that they don't all start processes at the same moments
--- a/tests/fleet/test_cold_untold.py
+++ b/tests/fleet/test_cold_untold.py
@@ -9,10 +9,10 @@
 import pytest
 
 from fleet.stage import BALANCERS, SERVERS, Case, Played, play
-from pointgw.faultbox.script import Rule
-from pointgw.rig.scenario import Trouble
-from pointgw.state import form
-from pointgw.state.store import SnapshotStore
+from pointgw.fault_proxy.script import Rule
+from pointgw.state import snapshot_format
+from pointgw.state.snapshot_store import SnapshotStore
+from pointgw.testbed.scenario import Trouble
 
 ALL = tuple(range(SERVERS))
 RACK = (0, 1, 2, 3)
@@ -36,7 +36,7 @@
         told = found.snapshot.facts
         facts = tuple(msgspec.structs.replace(fact, at=fact.at - WEEK, seen=0.0) for fact in told)
         old = msgspec.structs.replace(found.snapshot, written=time.time() - WEEK, facts=facts)
-        store.save(form.encode(old))
+        store.save(snapshot_format.encode(old))
 
 
 CASES = {
--- a/tests/fleet/test_recovery.py
+++ b/tests/fleet/test_recovery.py
@@ -6,8 +6,8 @@
 import pytest
 
 from fleet.stage import BALANCERS, DEMAND, SERVERS, Case, Played, play
-from pointgw.faultbox.script import Rule
-from pointgw.rig.scenario import Demand, Trouble
+from pointgw.fault_proxy.script import Rule
+from pointgw.testbed.scenario import Demand, Trouble
 
 ALL = tuple(range(SERVERS))
 COLD, WARM = (0, 1, 2, 3), (4, 5, 6, 7, 8)
--- a/tests/fleet/test_talk.py
+++ b/tests/fleet/test_talk.py
@@ -8,8 +8,8 @@
 import pytest
 
 from fleet.stage import Case, Played, play
-from pointgw.faultbox.script import Rule
-from pointgw.rig.scenario import Demand, Trouble
+from pointgw.fault_proxy.script import Rule
+from pointgw.testbed.scenario import Demand, Trouble
 
 ZONES, REGIONS = ("a", "b", "c"), {"north": ("a", "b"), "south": ("c",)}
 SERVERS = 18
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -14,7 +14,7 @@
 import pytest
 
 from pointgw.__main__ import main
-from pointgw.net.run.operated import OperatorFile
+from pointgw.net.run.operator_file import OperatorFile
 
 WRONG = """
 [log]
@@ -79,7 +79,7 @@
 def test_the_daemon_loads_neither_commands_nor_rig() -> None:
     look = (
         "import sys; sys.argv = ['pointgw']; import pointgw.__main__ as m, pointgw.net.run.daemon\n"
-        "names = ('click', 'msgspec', 'pointgw.rig', 'pointgw.command', 'pointgw.faultbox',"
+        "names = ('click', 'msgspec', 'pointgw.testbed', 'pointgw.command', 'pointgw.fault_proxy',"
         " 'pointgw.operators')\n"
         "print([n for n in names if n in sys.modules])"
     )
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pointgw.drill.host import serve
+from pointgw.simulator_adapter.host import serve
 
 CONF = (
     "CONFIGURE\trandomSeed=7\tinstances=1\tme=0\tmembershipMode=automatic\tprofiles.count=1\t"
--- a/tests/test_faultbox.py
+++ b/tests/test_faultbox.py
@@ -12,10 +12,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pointgw import checked
-from pointgw.faultbox.box import FULL, Box
-from pointgw.faultbox.schedule import Cut, HalfClose, Pass, Schedule, Stall, Step, chosen
-from pointgw.faultbox.script import Rule, Script
+from pointgw import validation
+from pointgw.fault_proxy.box import FULL, Box
+from pointgw.fault_proxy.schedule import Cut, HalfClose, Pass, Schedule, Stall, Step, chosen
+from pointgw.fault_proxy.script import Rule, Script
 
 LINES = b"OPEN 1 k c=chat,d=1500\r\nhello\r\nBYE inflight=1\r\n"
 ALL_ACTS = Script(
@@ -114,8 +114,8 @@
     ],
 )
 def test_a_faulty_rule_is_named(rule: dict[str, object], path: str) -> None:
-    with pytest.raises(checked.InvalidFileError) as told:
-        checked.convert({"rule": [rule]}, Script, "f")
+    with pytest.raises(validation.InvalidFileError) as told:
+        validation.convert({"rule": [rule]}, Script, "f")
     assert [fault.path for fault in told.value.problems] == [path]
 
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pointgw.interface import Profile, ServerEntry
-from pointgw.net.memory.guard import DeliveryGuard, Violation
+from pointgw.net.core.guard import DeliveryGuard, Violation
 
 SAFE = Profile("repeatable", "all", 0.0, 0.3, 2.0, 1.0)
 KEYED = Profile("referenced", "zone", 1.0, 0.3, 2.0, 1.0)
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pointgw.net.run.life import NEXT, ConnectionLifecycle, ConnectionState, DeliveryState
+from pointgw.net.run.connection_state import NEXT, ConnectionLifecycle, ConnectionState, DeliveryState
 
 
 def walk(*stages: ConnectionState) -> ConnectionLifecycle:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -14,15 +14,15 @@
 from hypothesis import strategies as st
 
 from filling_world import World
-from pointgw import checked, operators
+from pointgw import operators, validation
+from pointgw.cluster.wire import Keys, RefusedDatagramError
 from pointgw.interface import Profile
-from pointgw.net.run.recovering import RecoveryRunner
-from pointgw.net.wire.start import StartUpSettings, parse_start_up_file
-from pointgw.recovery import words
-from pointgw.recovery.loans import AGAIN, LEASE_DURATION, OWN, Leases, few
+from pointgw.net.run.recovery import RecoveryRunner
+from pointgw.net.wire.start_up import StartUpSettings, parse_start_up_file
+from pointgw.recovery import messages
+from pointgw.recovery.leases import AGAIN, LEASE_DURATION, OWN, Leases, few
+from pointgw.recovery.messages import LeaseMessage
 from pointgw.recovery.phase import KEPT, LONGEST, Phase, RecoveryPhaseTracker, ServerCounts, rank
-from pointgw.recovery.words import LeaseMessage
-from pointgw.tier.wire import Keys, RefusedDatagramError
 
 SPAN = 2.0
 KEY = Keys((b"0123456789abcdef",))
@@ -182,19 +182,19 @@
     assert lender.budget_share(11.1) == 1.0 and lender.receive_request(0, 11.1)
 
 
-WORD = LeaseMessage(words.ASK, 3, 4, 2**62, 200)
+WORD = LeaseMessage(messages.ASK, 3, 4, 2**62, 200)
 
 
 def test_a_word_is_read_whole_or_not_at_all() -> None:
-    data = words.seal(WORD, KEY)
-    assert words.unseal(data, KEY) == WORD and len(data) < 64
+    data = messages.seal(WORD, KEY)
+    assert messages.unseal(data, KEY) == WORD and len(data) < 64
     for cut in range(len(data)):
         with pytest.raises(RefusedDatagramError):
-            words.unseal(data[:cut], KEY)
+            messages.unseal(data[:cut], KEY)
     for at in range(len(data)):
         for bit in range(8):
             with pytest.raises(RefusedDatagramError):
-                words.unseal(data[:at] + bytes((data[at] ^ 1 << bit,)) + data[at + 1 :], KEY)
+                messages.unseal(data[:at] + bytes((data[at] ^ 1 << bit,)) + data[at + 1 :], KEY)
 
 
 @pytest.mark.parametrize(
@@ -202,7 +202,7 @@
 )
 def test_a_signed_body_that_is_no_word_is_refused(body: bytes) -> None:
     with pytest.raises(RefusedDatagramError):
-        words.unseal(KEY.seal(body, words.MAGIC), KEY)
+        messages.unseal(KEY.seal(body, messages.MAGIC), KEY)
 
 
 def file(tmp_path: Path, text: str) -> operators.RecoverySection:
@@ -243,7 +243,7 @@
 
 
 def test_an_unknown_key_is_refused(tmp_path: Path) -> None:
-    with pytest.raises(checked.InvalidFileError, match=r"recovery\.loan\b"):
+    with pytest.raises(validation.InvalidFileError, match=r"recovery\.loan\b"):
         file(tmp_path, "[recovery]\nloan = true\n")
 
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -6,9 +6,9 @@
 
 from helpers import site
 from pointgw.interface import Profile, ServerEntry
-from pointgw.net.memory import effects as fx
-from pointgw.net.memory import events as ev
-from pointgw.net.memory.reducer import (
+from pointgw.net.core import effects as fx
+from pointgw.net.core import events as ev
+from pointgw.net.core.reducer import (
     ANSWER,
     ARRIVE_ON,
     LAST,
@@ -19,8 +19,8 @@
     Reducer,
 )
 from pointgw.net.wire.lines import Decline, EndLine, Failure, Load, OpenRequest
-from pointgw.net.wire.listing import Names, ServerList
-from pointgw.net.wire.start import StartUpSettings
+from pointgw.net.wire.server_list import Names, ServerList
+from pointgw.net.wire.start_up import StartUpSettings
 
 
 def reducer(seed: int = 5, **changes: Any) -> Reducer:
--- a/tests/test_referee.py
+++ b/tests/test_referee.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from pointgw.rig import records as rec
-from pointgw.rig.meta import Meta
-from pointgw.rig.referee import judge
-from pointgw.rig.scenario import Fleet, Profile, Scenario
+from pointgw.testbed import records as rec
+from pointgw.testbed.meta import Meta
+from pointgw.testbed.referee import judge
+from pointgw.testbed.scenario import Fleet, Profile, Scenario
 
 PROFILES = (
     Profile("safe"), Profile("once", semantics="side_effect"),
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -16,18 +16,18 @@
 import msgspec
 import pytest
 
-from pointgw import checked
+from pointgw import validation
 from pointgw.__main__ import main
-from pointgw.rig import records as rec
-from pointgw.rig import results
-from pointgw.rig.demand import median_work, wishes
-from pointgw.rig.front import Door, Seen, deal
-from pointgw.rig.machine import Health, Held, Machine, Make
-from pointgw.rig.play import Play, Void
-from pointgw.rig.referee import judge
-from pointgw.rig.roster import Line, Roster, Serving
-from pointgw.rig.scenario import Demand, Fleet, Kind, Scenario, Trouble, library, read
-from pointgw.rig.timeline import moments
+from pointgw.testbed import records as rec
+from pointgw.testbed import results
+from pointgw.testbed.demand import median_work, wishes
+from pointgw.testbed.front import Door, Seen, deal
+from pointgw.testbed.machine import Health, Held, Machine, Make
+from pointgw.testbed.play import Play, Void
+from pointgw.testbed.referee import judge
+from pointgw.testbed.roster import Line, Roster, Serving
+from pointgw.testbed.scenario import Demand, Fleet, Kind, Scenario, Trouble, library, read
+from pointgw.testbed.timeline import moments
 
 MAKE = Make(1.0, 100, 0.1, 0.01, 0.001, 0.2, 10.0, 3.0, 2.0, 0.5, 3.0, 0.1)
 
@@ -147,8 +147,8 @@
     ],
 )
 def test_a_faulty_scenario_is_named(told: dict[str, Any], path: str) -> None:
-    with pytest.raises(checked.InvalidFileError) as found:
-        checked.convert({"name": "t", "about": "t"} | told, Scenario, "f")
+    with pytest.raises(validation.InvalidFileError) as found:
+        validation.convert({"name": "t", "about": "t"} | told, Scenario, "f")
     assert [fault.path for fault in found.value.problems] == [path]
 
 
@@ -179,7 +179,7 @@
     found: list[rec.AnyRecord] = [rec.Strain(float(t), "clients", 0.2, 0.95) for t in range(1, 9)]
     found += [rec.Strain(float(t), "s-1", 0.0, 0.1) for t in range(1, 9)]
     found += [rec.Machine(float(t), 0.02) for t in range(1, 9)]
-    from pointgw.rig.meta import Meta
+    from pointgw.testbed.meta import Meta
 
     told = results.strain(found, Meta(meta.scenario, "srlb", 0.0, 10.0, False, (), {}, {}))
     assert len(told) == 3 and all("clients" in line or "machine" in line for line in told)
--- a/tests/test_route.py
+++ b/tests/test_route.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pointgw.net.memory.route import LACKING, REMEMBERED, UNROUTED, RouteEvidence
+from pointgw.net.core.route import LACKING, REMEMBERED, UNROUTED, RouteEvidence
 
 A, B, C = ("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)
 
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -16,13 +16,13 @@
 import uvloop
 
 from pointgw.__main__ import main
-from pointgw.faultbox.box import Box
-from pointgw.faultbox.script import Rule, Script
-from pointgw.net.memory.effects import Effect, SetTimer
-from pointgw.net.memory.events import Event, TimerDue
+from pointgw.fault_proxy.box import Box
+from pointgw.fault_proxy.script import Rule, Script
+from pointgw.net.core.effects import Effect, SetTimer
+from pointgw.net.core.events import Event, TimerDue
+from pointgw.net.run.balancer_process import BalancerProcess
 from pointgw.net.run.log import KeyValue
-from pointgw.net.run.node import BalancerProcess
-from pointgw.net.wire.start import parse_start_up_file
+from pointgw.net.wire.start_up import parse_start_up_file
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 OPEN = b"OPEN 9b1f 7f3a c=chat,t=acme,d=1500,g=5c0f\r\n"
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -5,8 +5,8 @@
 import pytest
 
 from pointgw.interface import ServerEntry
-from pointgw.net.memory.start_times import StartTimes
-from pointgw.net.wire.listing import UNUSABLE
+from pointgw.net.core.start_times import StartTimes
+from pointgw.net.wire.server_list import UNUSABLE
 
 WARM_UP = 20.0
 BEGAN = 1_000_000.0  # the wall clock as the process began; its own clock goes on from there
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -23,20 +23,20 @@
 
 from pointgw.__main__ import main
 from pointgw.interface import ServerEntry
-from pointgw.net.memory.effects import Connect
-from pointgw.net.memory.events import ClientArrived, ListReceived, TimerDue
-from pointgw.net.memory.reducer import Reducer
-from pointgw.net.run.remembering import SnapshotRunner, restore_learned_state
+from pointgw.net.core.effects import Connect
+from pointgw.net.core.events import ClientArrived, ListReceived, TimerDue
+from pointgw.net.core.reducer import Reducer
+from pointgw.net.run.snapshots import SnapshotRunner, restore_learned_state
 from pointgw.net.wire.lines import client_line
-from pointgw.net.wire.listing import ServerList
-from pointgw.net.wire.start import StartUpSettings, parse_start_up_file
-from pointgw.state import form
-from pointgw.state.facts import LearnedFigures, ServerHealth, ServerLifetimes, ServerRecord, Snapshot, State
-from pointgw.state.keeper import SnapshotWriter
+from pointgw.net.wire.server_list import ServerList
+from pointgw.net.wire.start_up import StartUpSettings, parse_start_up_file
+from pointgw.state import snapshot_format
+from pointgw.state.confidence import RecordStanding, life, standing, trust
 from pointgw.state.merge import better, merge
-from pointgw.state.recall import MembershipView, restore, rows
-from pointgw.state.store import FolderInUseError, SnapshotStore
-from pointgw.state.trust import RecordStanding, life, standing, trust
+from pointgw.state.records import LearnedFigures, ServerHealth, ServerLifetimes, ServerRecord, Snapshot, State
+from pointgw.state.restore import MembershipView, restore, rows
+from pointgw.state.snapshot_store import FolderInUseError, SnapshotStore
+from pointgw.state.snapshot_writer import SnapshotWriter
 
 NOW = 1_000_000.0
 
@@ -59,32 +59,32 @@
         fact(), fact("s-2", "left"), health=(ServerHealth("s-1", 10.0, 2, NOW + 3, 0.5, NOW),),
         figures=LearnedFigures(0.5, 0.01, 3.0, 100.0, 4, 0.2), lives=ServerLifetimes(3, 900.0),
     )  # fmt: skip
-    assert form.decode(form.encode(told)) == told
+    assert snapshot_format.decode(snapshot_format.encode(told)) == told
 
 
 def test_a_cut_at_every_byte_and_a_flip_of_every_bit_is_damage(capsys: Any) -> None:
-    data = form.encode(memory(fact(), fact("s-2", "leaving")))
+    data = snapshot_format.encode(memory(fact(), fact("s-2", "leaving")))
     for at in range(len(data)):
-        with pytest.raises(form.DamagedSnapshotError):
-            form.decode(data[:at])
+        with pytest.raises(snapshot_format.DamagedSnapshotError):
+            snapshot_format.decode(data[:at])
     for at, bit in itertools.product(range(len(data)), range(8)):
         flipped = bytearray(data)
         flipped[at] ^= 1 << bit
-        with pytest.raises(form.DamagedSnapshotError):
-            form.decode(bytes(flipped))
+        with pytest.raises(snapshot_format.DamagedSnapshotError):
+            snapshot_format.decode(bytes(flipped))
     with capsys.disabled():
         print(f" [{len(data)} cuts and {8 * len(data)} flips]", end="")
 
 
 @pytest.mark.parametrize("data", [b"", b"\n", b"#!/bin/sh\n", b"pointgw-state 1\n", b"\xff" * 500])
 def test_files_of_others_are_damage(data: bytes) -> None:
-    with pytest.raises(form.DamagedSnapshotError):
-        form.decode(data)
+    with pytest.raises(snapshot_format.DamagedSnapshotError):
+        snapshot_format.decode(data)
 
 
 def newer() -> bytes:
     payload = msgspec.msgpack.encode(["whatever", "comes"])
-    return form._head(form.VERSION + 1, payload) + payload
+    return snapshot_format._head(snapshot_format.VERSION + 1, payload) + payload
 
 
 # Files.
@@ -101,8 +101,8 @@
         folder = str(tmp_path / str(at))
         first = SnapshotStore(folder)
         first.claim("n0")
-        first.save(form.encode(old))
-        first.save(form.encode(old))
+        first.save(snapshot_format.encode(old))
+        first.save(snapshot_format.encode(old))
         left = at
 
         def step(name: str) -> None:
@@ -113,7 +113,7 @@
 
         first.step = step
         try:
-            first.save(form.encode(new))
+            first.save(snapshot_format.encode(new))
             crashed = ""
         except Crash as crash:
             crashed = str(crash)
@@ -125,7 +125,7 @@
         again = SnapshotStore(folder)
         again.claim("n0")
         again.load()
-        again.save(form.encode(new))
+        again.save(snapshot_format.encode(new))
         again.release()
         assert SnapshotStore(folder).load().snapshot == new
         points += 1
@@ -141,12 +141,12 @@
     store = SnapshotStore(str(tmp_path / "s"))
     store.claim("n0")
     for name in ("one", "two", "three"):
-        store.save(form.encode(memory(fact(name))))
+        store.save(snapshot_format.encode(memory(fact(name))))
     newest = tmp_path / "s" / f"state.{store.generation}"
     newest.write_bytes(newest.read_bytes()[:-3] if harm is None else harm)
     found = store.load()
     assert found.snapshot == memory(fact("two")) and len(found.lost) == 1 and newest.name in found.lost[0]
-    store.save(form.encode(memory(fact("four"))))
+    store.save(snapshot_format.encode(memory(fact("four"))))
     assert SnapshotStore(str(tmp_path / "s")).load().snapshot == memory(fact("four"))
     assert stat.S_IMODE(newest.stat().st_mode) == 0o600 if newest.exists() else True
 
@@ -154,14 +154,14 @@
 def test_files_are_the_owners_alone_and_no_link_is_followed(tmp_path: Path) -> None:
     store = SnapshotStore(str(tmp_path / "s"))
     store.claim("n0")
-    store.save(form.encode(memory()))
+    store.save(snapshot_format.encode(memory()))
     modes = {path.name: stat.S_IMODE(path.stat().st_mode) for path in (tmp_path / "s").iterdir()}
     assert modes == {"owner": 0o600, "state.1": 0o600}
     (tmp_path / "link").symlink_to(tmp_path / "s")
     with pytest.raises(OSError):
         SnapshotStore(str(tmp_path / "link")).load()
     target = tmp_path / "elsewhere"
-    target.write_bytes(form.encode(memory(fact("planted"))))
+    target.write_bytes(snapshot_format.encode(memory(fact("planted"))))
     (tmp_path / "s" / "state.9").symlink_to(target)
     found = store.load()
     assert found.snapshot == memory() and len(found.lost) == 1
@@ -171,7 +171,7 @@
     first = SnapshotStore(str(tmp_path))
     first.claim("n0")
     code = (
-        "import sys; from pointgw.state.store import FolderInUseError, SnapshotStore\n"
+        "import sys; from pointgw.state.snapshot_store import FolderInUseError, SnapshotStore\n"
         "try: SnapshotStore(sys.argv[1]).claim('n1')\n"
         "except FolderInUseError as fault: print(fault)"
     )
@@ -396,7 +396,9 @@
         mark = SnapshotRunner.begin(str(folder), started(), str(boot))
         assert mark is not None
         told = memory(*facts, written=now if written is None else written)
-        mark.store.save(form.encode(msgspec.structs.replace(told, fingerprint=mark.fingerprint, run=run)))
+        mark.store.save(
+            snapshot_format.encode(msgspec.structs.replace(told, fingerprint=mark.fingerprint, run=run))
+        )
         mark.store.release()
     made = SnapshotRunner.begin(str(folder), started(), str(boot))
     assert made is not None
@@ -464,7 +466,7 @@
     assert made.writer is not None
     made.membership.confirm(now)
     told = made.writer.take(False)
-    made.store.save(form.encode(told))
+    made.store.save(snapshot_format.encode(told))
     made.store.release()
     loop.close()
     again, _ = remembering(tmp_path)
@@ -480,7 +482,7 @@
 def test_another_installations_memory_is_refused_and_left(tmp_path: Path, caplog: Any) -> None:
     store = SnapshotStore(str(tmp_path))
     store.claim("n9")
-    store.save(form.encode(memory()))
+    store.save(snapshot_format.encode(memory()))
     store.release()
     assert SnapshotRunner.begin(str(tmp_path), started()) is None
     assert "left untouched" in [record.getMessage() for record in caplog.records]
@@ -516,7 +518,7 @@
     assert roster.change_count == 12_000 and took < 2.0
     assert sum(f.is_away for f in roster.kept(NOW + 10)) == 2000
     told = memory(*roster.kept(NOW + 10))
-    assert len(form.encode(told)) < 1_500_000
+    assert len(snapshot_format.encode(told)) < 1_500_000
     # Told away without a start, each is remembered with the one that was known.
     assert all(f.started == 10.0 for f in roster.kept(NOW + 10))
 
@@ -534,7 +536,7 @@
     now = time.time()
     told = memory(fact("s-1", at=now - 40), fact("s-2", "left", at=now), written=now)
     for _ in range(2):
-        store.save(form.encode(told))
+        store.save(snapshot_format.encode(told))
     assert main(["state", "show", folder]) == 0
     shown = capfd.readouterr().out
     assert "s-1" in shown and "trusted" in shown and "told away" in shown
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -17,18 +17,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pointgw import checked, operators
+from pointgw import operators, validation
+from pointgw.cluster import plan, wire
+from pointgw.cluster import settings as cluster_settings
+from pointgw.cluster.agreement import Agreement
+from pointgw.cluster.members import Members, State
+from pointgw.cluster.observations import EYES, KEPT, Zone, ZoneObservation
+from pointgw.cluster.plan import Plan, ProfileCosts, RegionLinks
+from pointgw.cluster.transport import ClusterTransport
+from pointgw.cluster.wire import Keys, Packet, RefusedDatagramError
 from pointgw.command.main import command
 from pointgw.interface import Profile
-from pointgw.net.run import tiering
-from pointgw.tier import given as tier_given
-from pointgw.tier import plan, wire
-from pointgw.tier.accord import Agreement
-from pointgw.tier.facts import EYES, KEPT, Zone, ZoneObservation
-from pointgw.tier.members import Members, State
-from pointgw.tier.plan import Plan, ProfileCosts, RegionLinks
-from pointgw.tier.run import ClusterTransport
-from pointgw.tier.wire import Keys, Packet, RefusedDatagramError
+from pointgw.net.run import cluster
 from tier_world import KEY, KINDS, World
 
 OLD_KEY = b"o" * 32
@@ -430,8 +430,8 @@
 )
 def test_a_faulty_section_is_named(changes: dict[str, Any], path: str) -> None:
     section = msgspec.structs.replace(SECTION, **changes)
-    with pytest.raises(checked.InvalidFileError) as faulty:
-        tier_given.cluster_settings(section, ("a", "b", "c"), 0, PROFILES, 0, 6)
+    with pytest.raises(validation.InvalidFileError) as faulty:
+        cluster_settings.cluster_settings(section, ("a", "b", "c"), 0, PROFILES, 0, 6)
     assert [fault.path for fault in faulty.value.problems] == [path]
 
 
@@ -446,11 +446,11 @@
     path = tmp_path / "key"
     path.write_text(text)
     path.chmod(mode)
-    with pytest.raises(checked.InvalidFileError, match=says):
-        tier_given.read_keys(str(path))
+    with pytest.raises(validation.InvalidFileError, match=says):
+        cluster_settings.read_keys(str(path))
     path.chmod(0o600)
     path.write_text("00" * 16 + "\n" + "11" * 16)
-    assert len(tier_given.read_keys(str(path)).keys) == 2
+    assert len(cluster_settings.read_keys(str(path)).keys) == 2
 
 
 def test_states_of_a_member_change_in_one_place() -> None:
@@ -503,7 +503,7 @@
 def test_off_nothing_of_the_tier_or_the_recovery_is_imported() -> None:
     code = (
         "import sys, pointgw.net.run.daemon; "
-        "print([m for m in sys.modules if 'tier' in m or 'recover' in m])"
+        "print([m for m in sys.modules if any(w in m for w in ('cluster', 'tier', 'recover'))])"
     )
     run = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert run.stdout.strip() == "[]"
@@ -520,7 +520,7 @@
 
     async def write() -> float:
         loop, tier = asyncio.get_running_loop(), World(3).nodes[0]
-        ways = tiering.ClusterRunner(
+        ways = cluster.ClusterRunner(
             tier.settings, tier.keys, (), ("", 0), str(status), ("a", "b", "c"), ("x", "y")
         )
         ways.transport = ClusterTransport(tier, (), loop, lambda now: None, lambda now: None)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,7 @@
 import pytest
 
 from pointgw.net.wire import lines
-from pointgw.net.wire.listing import (
+from pointgw.net.wire.server_list import (
     LARGEST,
     LONGEST_HEAD,
     UNKNOWN_CELL,
@@ -15,7 +15,7 @@
     list_request,
     parse_server_list_body,
 )
-from pointgw.net.wire.start import flat, parse_start_up_file
+from pointgw.net.wire.start_up import flat, parse_start_up_file
 from pointgw.site import Malformed
 
 OPEN = b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,again=1"
--- a/tests/tier_world.py
+++ b/tests/tier_world.py
@@ -7,10 +7,10 @@
 from random import Random
 from typing import Any
 
-from pointgw.tier.facts import ZoneObservation
-from pointgw.tier.node import ClusterNode, ClusterSettings
-from pointgw.tier.plan import ProfileCosts, RegionLinks
-from pointgw.tier.wire import Keys
+from pointgw.cluster.node import ClusterNode, ClusterSettings
+from pointgw.cluster.observations import ZoneObservation
+from pointgw.cluster.plan import ProfileCosts, RegionLinks
+from pointgw.cluster.wire import Keys
 
 KEY = b"k" * 16
 KINDS = (ProfileCosts(2.0, 0.3), ProfileCosts(1.0, 0.3))
