--- a/benchmarks/blind.py
+++ b/benchmarks/blind.py
@@ -21,14 +21,14 @@
 
 import msgspec
 
-from pointgw.rig import records
-from pointgw.rig.meta import Meta
-from pointgw.rig.play import Play
-from pointgw.rig.referee import judge
-from pointgw.rig.results import Result, compare, result, spread
-from pointgw.rig.scenario import Scenario, Trouble, read
-from pointgw.state.form import encode
-from pointgw.state.store import Store
+from pointgw.state.snapshot_format import encode
+from pointgw.state.snapshot_store import SnapshotStore
+from pointgw.testbed import records
+from pointgw.testbed.meta import Meta
+from pointgw.testbed.play import Play
+from pointgw.testbed.referee import judge
+from pointgw.testbed.results import Result, compare, result, spread
+from pointgw.testbed.scenario import Scenario, Trouble, read
 
 FIRST = 10.0  # seconds from the restart that are looked at
 
@@ -68,9 +68,9 @@
     """Makes a memory so many seconds older than it is."""
 
     def between(folder: Path) -> None:
-        store = Store(str(folder))
+        store = SnapshotStore(str(folder))
         store.claim("benchmark")
-        found = store.load().memory
+        found = store.load().snapshot
         assert found is not None
         facts = tuple(
             msgspec.structs.replace(
--- a/pointgw/net/run/daemon.py
+++ b/pointgw/net/run/daemon.py
@@ -6,10 +6,10 @@
 import sys
 from pathlib import Path
 
-from pointgw import early
+from pointgw import early_signals
 from pointgw.net.run import log
-from pointgw.net.run.node import run
-from pointgw.net.wire.start import Start, start
+from pointgw.net.run.balancer_process import run
+from pointgw.net.wire.start_up import StartUpSettings, parse_start_up_file
 from pointgw.policy import Balancer
 from pointgw.site import Malformed
 
@@ -21,10 +21,10 @@
     """
     log.begin(os.environ.get("POINTGW_LOG", "info").upper())
 
-    def read() -> Start:
-        return start(Path(config).read_bytes())
+    def read() -> StartUpSettings:
+        return parse_start_up_file(Path(config).read_bytes())
 
-    early.begin()
+    early_signals.begin()
     try:
         told = read()
     except (OSError, Malformed) as fault:
@@ -32,29 +32,29 @@
         return 2
     operators = None
     if operator is not None:
-        from pointgw.net.run.operated import Operated  # nothing of it is loaded without the file
+        from pointgw.net.run.operator_file import OperatorFile  # nothing of it is loaded without the file
 
-        operators = Operated.begin(operator)
+        operators = OperatorFile.begin(operator)
         if operators is None:
             return 2
     remembering = None
-    if operators is not None and operators.told.state is not None:
-        from pointgw.net.run.remembering import Remembering
+    if operators is not None and operators.settings.state is not None:
+        from pointgw.net.run.snapshots import SnapshotRunner
 
-        kept = operators.told.state
-        remembering = Remembering.begin(kept.folder, told, kept.boot)
+        kept = operators.settings.state
+        remembering = SnapshotRunner.begin(kept.folder, told, kept.boot)
     tiering = None
-    if operators is not None and operators.told.tier is not None:
-        from pointgw.net.run.tiering import Tiering
+    if operators is not None and operators.settings.tier is not None:
+        from pointgw.net.run.cluster import ClusterRunner
 
-        tiering = Tiering.begin(operators.told.tier, told)
+        tiering = ClusterRunner.begin(operators.settings.tier, told)
         if tiering is None:
             return 2
     recovering = None
-    if operators is not None and operators.told.recovery is not None:
-        from pointgw.net.run.recovering import Recovering
+    if operators is not None and operators.settings.recovery is not None:
+        from pointgw.net.run.recovery import RecoveryRunner
 
-        recovering = Recovering.begin(operators.told.recovery, told)
+        recovering = RecoveryRunner.begin(operators.settings.recovery, told)
         if recovering is None:
             return 2
     try:
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -4,21 +4,21 @@
 
 import pytest
 
-from pointgw.interface import Listed
-from pointgw.net.memory.start_times import StartTimes
-from pointgw.net.wire.listing import UNUSABLE
+from pointgw.interface import ServerEntry
+from pointgw.net.core.start_times import StartTimes
+from pointgw.net.wire.server_list import UNUSABLE
 
 WARM_UP = 20.0
 BEGAN = 1_000_000.0  # the wall clock as the process began; its own clock goes on from there
 HOUR = 3600.0
 
 
-def line(started: float, server: str = "s") -> Listed:
-    return Listed(server, "active", 0, 0, 0, started, 1.0)
+def line(started: float, server: str = "s") -> ServerEntry:
+    return ServerEntry(server, "active", 0, 0, 0, started, 1.0)
 
 
 def translated(times: StartTimes, started: float, now: float, wall: float, heard: bool = True) -> float:
-    return next(times.translate([line(started)], now, wall, heard)).started
+    return next(times.translate([line(started)], now, wall, heard)).started_at
 
 
 @pytest.mark.parametrize("step", [0.0, 5.0, -5.0, HOUR, -HOUR])
