--- a/benchmarks/filling_size.py
+++ b/benchmarks/filling_size.py
@@ -38,7 +38,9 @@
     world = World(count, servers, few, 15.0 * servers / few, seed, loss=0.33, late=1.5)
     if liar:
         last = world.lending[-1]
-        world.lending[-1] = Liar(last.me, last.count, last.span, last.rng, last.started)
+        world.lending[-1] = Liar(
+            last.own_index, last.balancer_count, last.overload_window, last.rng, last.started_at
+        )
     world.play(6.0, 3.0)
     return world
 
--- a/benchmarks/tier_size.py
+++ b/benchmarks/tier_size.py
@@ -17,13 +17,13 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from tier_world import World
+from cluster_world import SimulatedCluster
 
 STEP = 0.25  # seconds between two looks
 MOST = 40.0  # seconds waited for anything
 
 
-def until(world: World, done: object) -> float | None:
+def until(world: SimulatedCluster, done: object) -> float | None:
     assert callable(done)
     began = world.now
     while not done():
@@ -34,31 +34,31 @@
 
 
 def measure(size: int, zones: int, loss: float) -> list[str]:
-    world = World(size, zones=zones)
+    world = SimulatedCluster(size, zones=zones)
     world.loss = loss
-    met = until(world, lambda: all(len(there) == size for there in world.there()))
+    met = until(world, lambda: all(len(there) == size for there in world.live_members()))
     world.run(5.0)
     for node in world.nodes.values():
-        node.figures.clear()
-        node.members.false = 0
+        node.counters.clear()
+        node.members.false_deaths = 0
     cpu = time.process_time()
     world.run(10.0)
     cpu = (time.process_time() - cpu) / 10.0 / size
-    sent = max(node.figures["sent bytes"] for node in world.nodes.values()) / 10.0
-    count = max(node.figures["sent"] for node in world.nodes.values()) / 10.0
-    over = sum(node.figures["over the ceiling"] for node in world.nodes.values())
-    false = sum(node.members.false for node in world.nodes.values())
+    sent = max(node.counters["sent bytes"] for node in world.nodes.values()) / 10.0
+    count = max(node.counters["sent"] for node in world.nodes.values()) / 10.0
+    over = sum(node.counters["over the ceiling"] for node in world.nodes.values())
+    false = sum(node.members.false_deaths for node in world.nodes.values())
     gone = {n for n in world.nodes if n % zones == 0}
     for number in gone:
         del world.nodes[number]
-    world.room[0] = 0.0
+    world.capacity[0] = 0.0
     began = world.now
-    closed = until(world, lambda: world.closed() == {1})
-    dead = until(world, lambda: all(not gone & set(there) for there in world.there()))
+    closed = until(world, lambda: world.closed_zones() == {1})
+    dead = until(world, lambda: all(not gone & set(there) for there in world.live_members()))
     dead = None if dead is None else world.now - began
     world.run(5.0)
     plans = [node.plan for node in world.nodes.values()]
-    apart = max(plans[0].differ(other) for other in plans)
+    apart = max(plans[0].max_difference(other) for other in plans)
 
     def shown(figure: float | None) -> str:
         return f"over {MOST:.0f}" if figure is None else f"{figure:.1f}"
--- a/pointgw/cluster/members.py
+++ b/pointgw/cluster/members.py
@@ -19,23 +19,25 @@
 from pointgw.cluster import wire
 from pointgw.cluster.wire import Packet
 
-ASKED = 4  # others that are asked to ping one that did not answer
-WAIT = 0.4  # of a period: until others are asked
-FEW = 12  # members among which one ping without an answer is a suspicion; with each power of it one more
-SUSPECTED = 8.0  # periods that a suspicion stands at least, once enough have confirmed it
-ALONE = 3.0  # times that, while one alone holds it
-CONFIRMED = 3  # others whose word brings it to the least time
-MOST_DOUBT = 8  # steps of doubt in oneself
-SURE = 2  # steps that an answer takes off; one that stays away adds one
-SPREAD = 4.0  # times log2 of the members: how often a piece of news is passed on
-STILL = 8.0  # periods without a turn after which this process stood still
-TRY_GONE = 10  # of the periods, one in so many asks a member that is dead or gone
-GREETED = 4  # of those never heard are asked in a period, until all were
-ROUNDS = 4  # so often: words are lost; later they are asked as those that are gone
-NEWS = 6  # pieces of news in a datagram at most
-
-
-class State(IntEnum):
+INDIRECT_PINGS = 4  # others that are asked to ping one that did not answer
+INDIRECT_PING_DELAY = 0.4  # of a period: until others are asked
+SMALL_CLUSTER_SIZE = (
+    12  # members among which one ping without an answer is a suspicion; with each power of it one more
+)
+MIN_SUSPICION_PERIODS = 8.0  # periods that a suspicion stands at least, once enough have confirmed it
+MAX_SUSPICION_FACTOR = 3.0  # times that, while one alone holds it
+FULL_CONFIRMATIONS = 3  # others whose word brings it to the least time
+MAX_HEALTH_SCORE = 8  # steps of doubt in oneself
+ACK_HEALTH_STEP = 2  # steps that an answer takes off; one that stays away adds one
+RETRANSMIT_FACTOR = 4.0  # times log2 of the members: how often a piece of news is passed on
+PAUSE_PERIODS = 8.0  # periods without a turn after which this process stood still
+DEAD_HELLO_PERIODS = 10  # of the periods, one in so many asks a member that is dead or gone
+HELLOS_PER_PERIOD = 4  # of those never heard are asked in a period, until all were
+MAX_HELLO_ROUNDS = 4  # so often: words are lost; later they are asked as those that are gone
+MAX_UPDATES = 6  # pieces of news in a datagram at most
+
+
+class MemberState(IntEnum):
     """As the wire has them."""
 
     ALIVE = 0
@@ -44,23 +46,23 @@
     LEFT = 3
 
     @property
-    def word(self) -> wire.Word:
-        return WORDS[self]
+    def wire_code(self) -> wire.Code:
+        return WIRE_CODES[self]
 
     @property
-    def there(self) -> bool:
+    def is_live(self) -> bool:
         """A suspect is until it is dead."""
-        return self in (State.ALIVE, State.SUSPECT)
+        return self in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
-WORDS: tuple[wire.Word, ...] = (wire.ALIVE, wire.SUSPECT, wire.DEAD, wire.LEFT)
+WIRE_CODES: tuple[wire.Code, ...] = (wire.ALIVE, wire.SUSPECT, wire.DEAD, wire.LEFT)
 
 
-NEXT = {
-    State.ALIVE: (State.SUSPECT, State.DEAD, State.LEFT),
-    State.SUSPECT: (State.ALIVE, State.DEAD, State.LEFT),
-    State.DEAD: (State.ALIVE, State.SUSPECT, State.LEFT),
-    State.LEFT: (State.ALIVE, State.SUSPECT, State.DEAD),
+TRANSITIONS = {
+    MemberState.ALIVE: (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT),
+    MemberState.SUSPECT: (MemberState.ALIVE, MemberState.DEAD, MemberState.LEFT),
+    MemberState.DEAD: (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEFT),
+    MemberState.LEFT: (MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD),
 }
 
 
@@ -68,353 +70,393 @@
 class Member:
     """Another balancer, as this one holds it."""
 
-    number: int
-    state: State = State.DEAD  # until it is heard
+    index: int
+    state: MemberState = MemberState.DEAD  # until it is heard
     incarnation: int = 0
-    run: int = 0  # of its process; 0: never heard
+    run_id: int = 0  # of its process; 0: never heard
     zone: int = -1  # as it tells
-    heard: int = -1  # the highest sequence of that run
-    missed: int = 0  # own pings in a row that nobody answered
-    past: list[int] = field(default_factory=list)  # runs before that, which say nothing any more
-    since: float = -inf
-    confirmed: set[int] = field(default_factory=set)  # who holds the suspicion
+    last_sequence: int = -1  # the highest sequence of that run
+    missed_pings: int = 0  # own pings in a row that nobody answered
+    past_run_ids: list[int] = field(default_factory=list)  # runs before that, which say nothing any more
+    state_since: float = -inf
+    suspected_by: set[int] = field(default_factory=set)  # who holds the suspicion
 
 
 @dataclass(slots=True)
-class Told:
+class QueuedUpdate:
     """News that is being passed on."""
 
-    news: wire.News
-    left: int  # times
+    update: wire.MemberUpdate
+    transmissions_left: int  # times
 
 
 @dataclass(slots=True)
-class Ping:
+class PendingPing:
     """A ping that is out."""
 
-    member: int
+    target: int
     nonce: int
-    at: float
-    asked: bool = False  # others were asked
-    heard: bool = False
+    sent_at: float
+    indirect_sent: bool = False  # others were asked
+    acknowledged: bool = False
 
 
-Send = tuple[int, Packet]
+OutgoingPacket = tuple[int, Packet]
 
 
 @dataclass(slots=True)
 class Members:
     """All of them, but oneself."""
 
-    me: int
-    count: int
+    own_index: int
+    member_count: int
     zone: int
-    run: int
-    regions: int
+    run_id: int
+    region_map_digest: int
     rng: Random
     period: float
-    others: dict[int, Member] = field(default_factory=dict)
+    peers: dict[int, Member] = field(default_factory=dict)
     incarnation: int = 0
-    doubt: int = 0
+    health_score: int = 0
     sequence: int = 0
-    turn: list[int] = field(default_factory=list)  # who is pinged next, in this round
-    ping: Ping | None = None
-    relayed: dict[int, tuple[int, int, float]] = field(default_factory=dict)  # by nonce: who asked, its, when
-    told: dict[int, Told] = field(default_factory=dict)
-    due: float = 0.0  # the next period
-    turned: float = -inf  # the last turn
-    stood_still: int = 0
-    false: int = 0  # deaths that were taken back
-    back_at: float = -inf  # when the last of them was
-    changes: int = 0  # of who is taken to be there
-    strange: dict[int, int] = field(default_factory=dict)  # members whose region map is another
-    unmet: list[int] = field(default_factory=list)  # never heard, asked next, in an order of chance
-    rounds: int = 0  # of asking them
+    ping_order: list[int] = field(default_factory=list)  # who is pinged next, in this round
+    pending_ping: PendingPing | None = None
+    relayed_pings: dict[int, tuple[int, int, float]] = field(
+        default_factory=dict
+    )  # by nonce: who asked, its, when
+    queued_updates: dict[int, QueuedUpdate] = field(default_factory=dict)
+    next_period_at: float = 0.0  # the next period
+    last_timer_at: float = -inf  # the last turn
+    pause_count: int = 0
+    false_deaths: int = 0  # deaths that were taken back
+    last_false_death_at: float = -inf  # when the last of them was
+    change_count: int = 0  # of who is taken to be there
+    map_mismatches: dict[int, int] = field(default_factory=dict)  # members whose region map is another
+    uncontacted: list[int] = field(default_factory=list)  # never heard, asked next, in an order of chance
+    hello_rounds: int = 0  # of asking them
 
     def __post_init__(self) -> None:
-        self.others = {n: Member(n) for n in range(self.count) if n != self.me}
-        self._ask_unmet()
+        self.peers = {n: Member(n) for n in range(self.member_count) if n != self.own_index}
+        self._begin_hello_round()
 
-    def _ask_unmet(self) -> None:
-        self.rounds += 1
-        self.unmet = [m.number for m in self.others.values() if not m.run]
-        self.rng.shuffle(self.unmet)
+    def _begin_hello_round(self) -> None:
+        self.hello_rounds += 1
+        self.uncontacted = [m.index for m in self.peers.values() if not m.run_id]
+        self.rng.shuffle(self.uncontacted)
 
     # What others ask.
 
-    def alive(self) -> list[int]:
+    def live_members(self) -> list[int]:
         """All that are taken to be there, oneself among them."""
-        return sorted([*self._others_there(), self.me])
+        return sorted([*self._live_peers(), self.own_index])
 
-    def _others_there(self) -> list[int]:
-        return [m.number for m in self.others.values() if m.state.there]
+    def _live_peers(self) -> list[int]:
+        return [m.index for m in self.peers.values() if m.state.is_live]
 
-    def certain(self) -> set[int]:
+    def unsuspected_members(self) -> set[int]:
         """Those of them that nobody suspects, oneself among them."""
-        return {self.me, *(m.number for m in self.others.values() if m.state is State.ALIVE)}
+        return {self.own_index, *(m.index for m in self.peers.values() if m.state is MemberState.ALIVE)}
 
-    def known(self) -> list[int]:
+    def known_members(self) -> list[int]:
         """All that were ever heard, oneself among them, but those that left."""
-        heard = [m.number for m in self.others.values() if m.run and m.state is not State.LEFT]
-        return sorted([*heard, self.me])
+        heard = [m.index for m in self.peers.values() if m.run_id and m.state is not MemberState.LEFT]
+        return sorted([*heard, self.own_index])
 
     def zone_of(self, number: int) -> int:
         """As it tells; -1: not heard."""
-        return self.zone if number == self.me else self.others[number].zone
+        return self.zone if number == self.own_index else self.peers[number].zone
 
-    def next_at(self, now: float) -> float:
+    def next_timer_at(self, now: float) -> float:
         """When a turn is due at the latest."""
-        if self.ping is not None and not self.ping.asked and not self.ping.heard:
-            return min(self.due, max(now, self.ping.at + WAIT * self._length()))
-        return self.due
-
-    def _length(self) -> float:
+        if (
+            self.pending_ping is not None
+            and not self.pending_ping.indirect_sent
+            and not self.pending_ping.acknowledged
+        ):
+            return min(
+                self.next_period_at,
+                max(now, self.pending_ping.sent_at + INDIRECT_PING_DELAY * self._scaled_period()),
+            )
+        return self.next_period_at
+
+    def _scaled_period(self) -> float:
         """A period, longer in doubt of oneself."""
-        return self.period * (1 + self.doubt / 2)
+        return self.period * (1 + self.health_score / 2)
 
     # By the clock.
 
-    def turns(self, now: float) -> list[Send]:
+    def timer_due(self, now: float) -> list[OutgoingPacket]:
         """Takes a turn: ends what is due, pings the next."""
-        out: list[Send] = []
-        if now - self.turned > STILL * self.period and self.turned > -inf:
-            self._wake(now)
-        self.turned = now
-        for member in self.others.values():
-            if member.state is State.SUSPECT and now >= member.since + self._patience(member):
-                self._to(member, State.DEAD, member.incarnation, self.me, now)
-        ping = self.ping
-        if ping is not None and not ping.heard and not ping.asked and now >= ping.at + WAIT * self._length():
-            ping.asked = True
-            out += self._ask_others(ping)
-        if now >= self.due:
-            if ping is not None and not ping.heard:
-                self._unanswered(ping, now)
-            self.due = max(self.due + self._length(), now + self._length() / 2)
-            out += self._next(now)
-        self.relayed = {n: r for n, r in self.relayed.items() if now - r[2] < 2 * self._length()}
+        out: list[OutgoingPacket] = []
+        if now - self.last_timer_at > PAUSE_PERIODS * self.period and self.last_timer_at > -inf:
+            self._resume_after_pause(now)
+        self.last_timer_at = now
+        for member in self.peers.values():
+            if member.state is MemberState.SUSPECT and now >= member.state_since + self._suspicion_timeout(
+                member
+            ):
+                self._set_state(member, MemberState.DEAD, member.incarnation, self.own_index, now)
+        ping = self.pending_ping
+        if (
+            ping is not None
+            and not ping.acknowledged
+            and not ping.indirect_sent
+            and now >= ping.sent_at + INDIRECT_PING_DELAY * self._scaled_period()
+        ):
+            ping.indirect_sent = True
+            out += self._indirect_pings(ping)
+        if now >= self.next_period_at:
+            if ping is not None and not ping.acknowledged:
+                self._ping_failed(ping, now)
+            self.next_period_at = max(
+                self.next_period_at + self._scaled_period(), now + self._scaled_period() / 2
+            )
+            out += self._begin_period(now)
+        self.relayed_pings = {
+            n: r for n, r in self.relayed_pings.items() if now - r[2] < 2 * self._scaled_period()
+        }
         return out
 
-    def _wake(self, now: float) -> None:
+    def _resume_after_pause(self, now: float) -> None:
         """Guards against a process that stood still: what it held is old, its ping was not lost by others."""
-        self.stood_still += 1
-        self.ping, self.doubt, self.due = None, MOST_DOUBT, now
+        self.pause_count += 1
+        self.pending_ping, self.health_score, self.next_period_at = None, MAX_HEALTH_SCORE, now
         self.incarnation += 1
-        self._tell(wire.News(self.me, wire.ALIVE, self.incarnation, self.me))
-        for member in self.others.values():
-            if member.state is State.SUSPECT:
-                member.since = now
-                member.confirmed = set()
-
-    def _unanswered(self, ping: Ping, now: float) -> None:
-        self._doubts(1)
-        member = self.others[ping.member]
-        member.missed += 1
-        if member.state is State.ALIVE and member.missed < log(max(2, self.count), FEW):
+        self._queue_update(wire.MemberUpdate(self.own_index, wire.ALIVE, self.incarnation, self.own_index))
+        for member in self.peers.values():
+            if member.state is MemberState.SUSPECT:
+                member.state_since = now
+                member.suspected_by = set()
+
+    def _ping_failed(self, ping: PendingPing, now: float) -> None:
+        self._adjust_health_score(1)
+        member = self.peers[ping.target]
+        member.missed_pings += 1
+        if member.state is MemberState.ALIVE and member.missed_pings < log(
+            max(2, self.member_count), SMALL_CLUSTER_SIZE
+        ):
             # Guards a large tier whose words are lost: at 30% one ping in five fails, and so many suspicions
             # can't be told, nor refuted, in time. It costs a period until a death is seen.
-            self.turn.append(member.number)
-        elif member.state is State.ALIVE:
-            self._to(member, State.SUSPECT, member.incarnation, self.me, now)
+            self.ping_order.append(member.index)
+        elif member.state is MemberState.ALIVE:
+            self._set_state(member, MemberState.SUSPECT, member.incarnation, self.own_index, now)
 
-    def _patience(self, member: Member) -> float:
+    def _suspicion_timeout(self, member: Member) -> float:
         """How long it is suspected before it is dead: shorter with each that confirms."""
-        least = SUSPECTED * self._length() * max(1.0, log(max(2, self.count), 10))
-        others = len(member.confirmed - {self.me})
-        if self.count <= CONFIRMED:
+        least = MIN_SUSPICION_PERIODS * self._scaled_period() * max(1.0, log(max(2, self.member_count), 10))
+        others = len(member.suspected_by - {self.own_index})
+        if self.member_count <= FULL_CONFIRMATIONS:
             return least
-        part = log(others + 1) / log(CONFIRMED + 1)
-        return least * (ALONE - (ALONE - 1.0) * min(1.0, part))
-
-    def _doubts(self, step: int) -> None:
-        self.doubt = min(MOST_DOUBT, max(0, self.doubt + step))
-
-    def _next(self, now: float) -> list[Send]:
-        out: list[Send] = []
-        greeted, self.unmet = self.unmet[:GREETED], self.unmet[GREETED:]
-        out += [(n, self._packet(wire.HELLO, n)) for n in greeted if not self.others[n].run]
-        if not self.unmet and self.rounds < ROUNDS:
-            self._ask_unmet()
-        gone = [m for m in self.others.values() if m.state in (State.DEAD, State.LEFT)]
-        healing = len(gone) == len(self.others) or now < self.back_at + STILL * self.period
-        if gone and not self.unmet and (healing or not self.rng.randrange(TRY_GONE)):
+        part = log(others + 1) / log(FULL_CONFIRMATIONS + 1)
+        return least * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * min(1.0, part))
+
+    def _adjust_health_score(self, step: int) -> None:
+        self.health_score = min(MAX_HEALTH_SCORE, max(0, self.health_score + step))
+
+    def _begin_period(self, now: float) -> list[OutgoingPacket]:
+        out: list[OutgoingPacket] = []
+        greeted, self.uncontacted = self.uncontacted[:HELLOS_PER_PERIOD], self.uncontacted[HELLOS_PER_PERIOD:]
+        out += [(n, self._make_packet(wire.HELLO, n)) for n in greeted if not self.peers[n].run_id]
+        if not self.uncontacted and self.hello_rounds < MAX_HELLO_ROUNDS:
+            self._begin_hello_round()
+        gone = [m for m in self.peers.values() if m.state in (MemberState.DEAD, MemberState.LEFT)]
+        healing = len(gone) == len(self.peers) or now < self.last_false_death_at + PAUSE_PERIODS * self.period
+        if gone and not self.uncontacted and (healing or not self.rng.randrange(DEAD_HELLO_PERIODS)):
             # A member that is gone may be back, or on the other side of a split that is over; where one is
             # back, the others may be.
             member = self.rng.choice(gone)
-            out.append((member.number, self._packet(wire.HELLO, member.number)))
-        self.turn = [n for n in self.turn if self.others[n].state.there]
-        if not self.turn:
-            self.turn = self._others_there()
-            self.rng.shuffle(self.turn)
-        self.ping = None
-        if self.turn:
-            number = self.turn.pop()
-            self.ping = Ping(number, self.rng.getrandbits(32), now)
-            out.append((number, self._packet(wire.PING, number, nonce=self.ping.nonce)))
+            out.append((member.index, self._make_packet(wire.HELLO, member.index)))
+        self.ping_order = [n for n in self.ping_order if self.peers[n].state.is_live]
+        if not self.ping_order:
+            self.ping_order = self._live_peers()
+            self.rng.shuffle(self.ping_order)
+        self.pending_ping = None
+        if self.ping_order:
+            number = self.ping_order.pop()
+            self.pending_ping = PendingPing(number, self.rng.getrandbits(32), now)
+            out.append((number, self._make_packet(wire.PING, number, nonce=self.pending_ping.nonce)))
         return out
 
-    def _ask_others(self, ping: Ping) -> list[Send]:
-        able = [m.number for m in self.others.values() if m.state is State.ALIVE and m.number != ping.member]
+    def _indirect_pings(self, ping: PendingPing) -> list[OutgoingPacket]:
+        able = [
+            m.index for m in self.peers.values() if m.state is MemberState.ALIVE and m.index != ping.target
+        ]
         return [
-            (helper, self._packet(wire.ASK, helper, about=ping.member, nonce=ping.nonce))
-            for helper in sorted(self.rng.sample(able, min(ASKED, len(able))))
+            (helper, self._make_packet(wire.PING_REQ, helper, about=ping.target, nonce=ping.nonce))
+            for helper in sorted(self.rng.sample(able, min(INDIRECT_PINGS, len(able))))
         ]
 
     # What comes in.
 
-    def hears(self, packet: Packet, now: float) -> tuple[list[Send], bool]:
+    def receive(self, packet: Packet, now: float) -> tuple[list[OutgoingPacket], bool]:
         """Takes a verified packet. Gives the answers, and whether what it tells may be believed."""
-        member = self.others.get(packet.sender)
-        if member is None or packet.to != self.me or not packet.run:
+        member = self.peers.get(packet.sender)
+        if member is None or packet.receiver != self.own_index or not packet.sender_run_id:
             return [], False
-        if packet.run != member.run:
-            if packet.run in member.past:
+        if packet.sender_run_id != member.run_id:
+            if packet.sender_run_id in member.past_run_ids:
                 return [], False
-            if packet.known != self.run:
+            if packet.receiver_run_id != self.run_id:
                 # It may be yesterday's: asked again, and taken once it names this run.
-                return [(member.number, self._packet(wire.HELLO, member.number, run=packet.run))], False
-            member.past = [*member.past, member.run][-8:] if member.run else member.past
-            member.run, member.heard = packet.run, -1
-            if member.state is not State.ALIVE:
-                self._to(member, State.ALIVE, packet.incarnation, self.me, now)
+                return [
+                    (member.index, self._make_packet(wire.HELLO, member.index, run=packet.sender_run_id))
+                ], False
+            member.past_run_ids = (
+                [*member.past_run_ids, member.run_id][-8:] if member.run_id else member.past_run_ids
+            )
+            member.run_id, member.last_sequence = packet.sender_run_id, -1
+            if member.state is not MemberState.ALIVE:
+                self._set_state(member, MemberState.ALIVE, packet.incarnation, self.own_index, now)
             member.incarnation = packet.incarnation
-        elif packet.known != self.run:
-            return [(member.number, self._packet(wire.HELLO, member.number))], False
-        if packet.sequence <= member.heard:
+        elif packet.receiver_run_id != self.run_id:
+            return [(member.index, self._make_packet(wire.HELLO, member.index))], False
+        if packet.sequence <= member.last_sequence:
             return [], False  # doubled, late or replayed
-        member.heard, member.zone = packet.sequence, packet.zone
-        if packet.regions != self.regions:
-            self.strange[member.number] = packet.regions
+        member.last_sequence, member.zone = packet.sequence, packet.zone
+        if packet.region_map_digest != self.region_map_digest:
+            self.map_mismatches[member.index] = packet.region_map_digest
         else:
-            self.strange.pop(member.number, None)
-        self._back(member, packet, now)
-        for news in packet.news:
-            self._news(news, now)
-        out: list[Send] = []
+            self.map_mismatches.pop(member.index, None)
+        self._refresh(member, packet, now)
+        for news in packet.updates:
+            self._apply_update(news, now)
+        out: list[OutgoingPacket] = []
         match packet.kind:
             case wire.PING:
-                out.append((member.number, self._packet(wire.ACK, member.number, self.me, packet.nonce)))
+                out.append(
+                    (member.index, self._make_packet(wire.ACK, member.index, self.own_index, packet.nonce))
+                )
             case wire.HELLO:
-                out.append((member.number, self._packet(wire.ACK, member.number, self.me, 0)))
-            case wire.ASK if packet.about in self.others and packet.about != packet.sender:
+                out.append((member.index, self._make_packet(wire.ACK, member.index, self.own_index, 0)))
+            case wire.PING_REQ if packet.target in self.peers and packet.target != packet.sender:
                 nonce = self.rng.getrandbits(32)
-                if len(self.relayed) < 4 * self.count:
-                    self.relayed[nonce] = (packet.sender, packet.nonce, now)
-                    out.append((packet.about, self._packet(wire.PING, packet.about, nonce=nonce)))
+                if len(self.relayed_pings) < 4 * self.member_count:
+                    self.relayed_pings[nonce] = (packet.sender, packet.nonce, now)
+                    out.append((packet.target, self._make_packet(wire.PING, packet.target, nonce=nonce)))
             case wire.ACK:
-                out += self._answered(packet)
+                out += self._receive_ack(packet)
         return out, True
 
-    def _answered(self, packet: Packet) -> list[Send]:
-        if packet.nonce in self.relayed:
-            who, nonce, _ = self.relayed.pop(packet.nonce)
-            return [(who, self._packet(wire.ACK, who, packet.about, nonce))] if who in self.others else []
-        ping = self.ping
-        if ping is not None and packet.nonce == ping.nonce and packet.about == ping.member:
+    def _receive_ack(self, packet: Packet) -> list[OutgoingPacket]:
+        if packet.nonce in self.relayed_pings:
+            who, nonce, _ = self.relayed_pings.pop(packet.nonce)
+            return (
+                [(who, self._make_packet(wire.ACK, who, packet.target, nonce))] if who in self.peers else []
+            )
+        ping = self.pending_ping
+        if ping is not None and packet.nonce == ping.nonce and packet.target == ping.target:
             # Also by way of another: own words reach somebody. Guards against a tier that grows slow as a
             # whole where a third of all datagrams is lost, or many are dead at once.
-            self._doubts(0 if ping.heard else -SURE)
-            ping.heard = True
-            self.others[ping.member].missed = 0
+            self._adjust_health_score(0 if ping.acknowledged else -ACK_HEALTH_STEP)
+            ping.acknowledged = True
+            self.peers[ping.target].missed_pings = 0
         return []
 
-    def _back(self, member: Member, packet: Packet, now: float) -> None:
+    def _refresh(self, member: Member, packet: Packet, now: float) -> None:
         """Its own word, of this run: it is there."""
         if packet.incarnation > member.incarnation:
             member.incarnation = packet.incarnation
-            if member.state is not State.ALIVE:
-                self._to(member, State.ALIVE, packet.incarnation, self.me, now)
-        elif member.state is State.DEAD:
+            if member.state is not MemberState.ALIVE:
+                self._set_state(member, MemberState.ALIVE, packet.incarnation, self.own_index, now)
+        elif member.state is MemberState.DEAD:
             # Taken to be dead and alive all the same: it refutes that once it hears of it.
-            self._tell(wire.News(member.number, wire.DEAD, member.incarnation, self.me))
+            self._queue_update(wire.MemberUpdate(member.index, wire.DEAD, member.incarnation, self.own_index))
 
-    def _news(self, news: wire.News, now: float) -> None:
-        state = State(news.state)
-        if news.member == self.me:
-            if state is not State.ALIVE and news.incarnation >= self.incarnation:
+    def _apply_update(self, news: wire.MemberUpdate, now: float) -> None:
+        state = MemberState(news.state)
+        if news.member == self.own_index:
+            if state is not MemberState.ALIVE and news.incarnation >= self.incarnation:
                 self.incarnation = news.incarnation + 1
-                self._doubts(1)
-                self._tell(wire.News(self.me, wire.ALIVE, self.incarnation, self.me))
+                self._adjust_health_score(1)
+                self._queue_update(
+                    wire.MemberUpdate(self.own_index, wire.ALIVE, self.incarnation, self.own_index)
+                )
             return
-        member = self.others.get(news.member)
-        if member is None or not member.run:
+        member = self.peers.get(news.member)
+        if member is None or not member.run_id:
             return  # never heard by itself: no word of others makes a member
         if news.incarnation < member.incarnation:
             return
         newer = news.incarnation > member.incarnation
         match state:
-            case State.ALIVE if newer:
-                self._to(member, State.ALIVE, news.incarnation, news.by, now)
-            case State.SUSPECT if member.state is State.SUSPECT and not newer:
-                if news.by != news.member and len(member.confirmed) <= CONFIRMED:
-                    if news.by not in member.confirmed:
-                        self._tell(news)
-                    member.confirmed.add(news.by)
-            case State.SUSPECT if newer or member.state is State.ALIVE:
-                self._to(member, State.SUSPECT, news.incarnation, news.by, now)
-            case State.DEAD if newer or member.state.there:
+            case MemberState.ALIVE if newer:
+                self._set_state(member, MemberState.ALIVE, news.incarnation, news.reporter, now)
+            case MemberState.SUSPECT if member.state is MemberState.SUSPECT and not newer:
+                if news.reporter != news.member and len(member.suspected_by) <= FULL_CONFIRMATIONS:
+                    if news.reporter not in member.suspected_by:
+                        self._queue_update(news)
+                    member.suspected_by.add(news.reporter)
+            case MemberState.SUSPECT if newer or member.state is MemberState.ALIVE:
+                self._set_state(member, MemberState.SUSPECT, news.incarnation, news.reporter, now)
+            case MemberState.DEAD if newer or member.state.is_live:
                 # Dead by another's word alone is suspected here: own eyes, or time, make it so.
-                if member.state is State.SUSPECT:
-                    member.confirmed.add(news.by)
+                if member.state is MemberState.SUSPECT:
+                    member.suspected_by.add(news.reporter)
                 else:
-                    self._to(member, State.SUSPECT, news.incarnation, news.by, now)
-            case State.LEFT if news.by == news.member and (newer or member.state is not State.LEFT):
-                self._to(member, State.LEFT, news.incarnation, news.by, now)
+                    self._set_state(member, MemberState.SUSPECT, news.incarnation, news.reporter, now)
+            case MemberState.LEFT if news.reporter == news.member and (
+                newer or member.state is not MemberState.LEFT
+            ):
+                self._set_state(member, MemberState.LEFT, news.incarnation, news.reporter, now)
             case _:
                 pass
 
-    def _to(self, member: Member, state: State, incarnation: int, by: int, now: float) -> None:
+    def _set_state(self, member: Member, state: MemberState, incarnation: int, by: int, now: float) -> None:
         """The one place where a member changes state."""
         if state is member.state:
             member.incarnation = max(member.incarnation, incarnation)
             return
-        if state not in NEXT[member.state]:
-            raise ValueError(f"member {member.number}: {member.state.name} cannot become {state.name}")
-        self.changes += member.state.there is not state.there
-        back = member.state is State.DEAD and state is State.ALIVE and member.heard >= 0
-        self.false += back
-        self.back_at = now if back else self.back_at
-        member.state, member.since = state, now
+        if state not in TRANSITIONS[member.state]:
+            raise ValueError(f"member {member.index}: {member.state.name} cannot become {state.name}")
+        self.change_count += member.state.is_live is not state.is_live
+        back = member.state is MemberState.DEAD and state is MemberState.ALIVE and member.last_sequence >= 0
+        self.false_deaths += back
+        self.last_false_death_at = now if back else self.last_false_death_at
+        member.state, member.state_since = state, now
         member.incarnation = max(member.incarnation, incarnation)
-        member.confirmed = {by} if state is State.SUSPECT else set()
-        self._tell(wire.News(member.number, state.word, member.incarnation, by))
+        member.suspected_by = {by} if state is MemberState.SUSPECT else set()
+        self._queue_update(wire.MemberUpdate(member.index, state.wire_code, member.incarnation, by))
 
-    def some(self, count: int) -> list[Send]:
+    def packets_to_random_peers(self, count: int) -> list[OutgoingPacket]:
         """A word to some others at once, for what can't wait for the next ping."""
-        there = self._others_there()
-        return [(n, self._packet(wire.ACK, n)) for n in self.rng.sample(there, min(count, len(there)))]
+        there = self._live_peers()
+        return [(n, self._make_packet(wire.ACK, n)) for n in self.rng.sample(there, min(count, len(there)))]
 
-    def leave(self) -> list[Send]:
+    def leave(self) -> list[OutgoingPacket]:
         """The last word of one that stops in order, to some others."""
         self.incarnation += 1
-        self._tell(wire.News(self.me, wire.LEFT, self.incarnation, self.me))
-        return self.some(2 * ASKED)
+        self._queue_update(wire.MemberUpdate(self.own_index, wire.LEFT, self.incarnation, self.own_index))
+        return self.packets_to_random_peers(2 * INDIRECT_PINGS)
 
     # What goes out.
 
-    def _tell(self, news: wire.News) -> None:
-        self.told[news.member] = Told(news, ceil(SPREAD * log(max(2, self.count), 2)))
+    def _queue_update(self, news: wire.MemberUpdate) -> None:
+        self.queued_updates[news.member] = QueuedUpdate(
+            news, ceil(RETRANSMIT_FACTOR * log(max(2, self.member_count), 2))
+        )
 
-    def _packet(
-        self, kind: wire.Word, to: int, about: int = 0, nonce: int = 0, run: int | None = None
+    def _make_packet(
+        self, kind: wire.Code, to: int, about: int = 0, nonce: int = 0, run: int | None = None
     ) -> Packet:
-        member = self.others[to]
+        member = self.peers[to]
         self.sequence += 1
-        chosen = sorted(self.told.values(), key=lambda told: (-told.left, told.news.member))[:NEWS]
-        about_it = self.told.get(to)
-        if member.state in (State.SUSPECT, State.DEAD) and member.run:
+        chosen = sorted(
+            self.queued_updates.values(), key=lambda told: (-told.transmissions_left, told.update.member)
+        )[:MAX_UPDATES]
+        about_it = self.queued_updates.get(to)
+        if member.state in (MemberState.SUSPECT, MemberState.DEAD) and member.run_id:
             # The one it is about hears of it first, so that it can refute it.
-            chosen = [c for c in chosen if c is not about_it][: NEWS - 1]
-            first = wire.News(to, member.state.word, member.incarnation, self.me)
-            news = (first, *(c.news for c in chosen))
+            chosen = [c for c in chosen if c is not about_it][: MAX_UPDATES - 1]
+            first = wire.MemberUpdate(to, member.state.wire_code, member.incarnation, self.own_index)
+            news = (first, *(c.update for c in chosen))
         else:
-            news = tuple(c.news for c in chosen)
+            news = tuple(c.update for c in chosen)
         for each in chosen:
-            each.left -= 1
-            if each.left <= 0:
-                self.told.pop(each.news.member, None)
-        known = member.run if run is None else run
+            each.transmissions_left -= 1
+            if each.transmissions_left <= 0:
+                self.queued_updates.pop(each.update.member, None)
+        known = member.run_id if run is None else run
         return Packet(
-            kind, self.me, to, self.run, known, self.sequence, self.regions, self.zone, about, nonce,
-            self.incarnation, () if kind == wire.HELLO else news,
+            kind, self.own_index, to, self.run_id, known, self.sequence, self.region_map_digest, self.zone,
+            about, nonce, self.incarnation, () if kind == wire.HELLO else news,
         )  # fmt: skip
--- a/pointgw/cluster/node.py
+++ b/pointgw/cluster/node.py
@@ -15,16 +15,19 @@
 
 from pointgw.cluster import plan, wire
 from pointgw.cluster.agreement import Agreement
-from pointgw.cluster.members import FEW, Members, Send
-from pointgw.cluster.observations import Zone, ZoneObservation, ZoneObservations
+from pointgw.cluster.members import SMALL_CLUSTER_SIZE, Members, OutgoingPacket
+from pointgw.cluster.observations import ZoneEstimate, ZoneObservation, ZoneObservations
 from pointgw.cluster.plan import Plan, ProfileCosts, RegionLinks
 
-EMPTY, FILLED = 0.1, 0.3  # of what a zone can do when warm: room under which it is closed, over which opened
-SHORT, LONG = 2, 16  # periods for which it must be so
-FAN = 3  # others that hear at once of a vote that has changed
-SOON = 0.25  # of a period: the shortest time between two such words
+CLOSE_BELOW, REOPEN_ABOVE = (
+    0.1,
+    0.3,
+)  # of what a zone can do when warm: room under which it is closed, over which opened
+CLOSE_PERIODS, REOPEN_PERIODS = 2, 16  # periods for which it must be so
+VOTE_FANOUT = 3  # others that hear at once of a vote that has changed
+MIN_VOTE_INTERVAL = 0.25  # of a period: the shortest time between two such words
 
-Out = list[tuple[int, bytes]]
+Datagrams = list[tuple[int, bytes]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,35 +35,35 @@
     """What the operators say of the tier."""
 
     own_index: int
-    count: int
+    member_count: int
     zone: int
-    zones: int
-    kinds: tuple[ProfileCosts, ...]
-    ways: RegionLinks
-    regions: int  # digest of the map
+    zone_count: int
+    profile_costs: tuple[ProfileCosts, ...]
+    links: RegionLinks
+    region_map_digest: int  # digest of the map
     period: float = 0.25
-    datagrams: float = 80.0  # a second, at most
-    size: float = 16_000.0  # bytes a second, at most
-    evacuate: int = 0  # zones as bits
+    max_datagrams_per_second: float = 80.0  # a second, at most
+    max_bytes_per_second: float = 16_000.0  # bytes a second, at most
+    evacuated_zones: int = 0  # zones as bits
 
 
 @dataclass(slots=True)
-class Ceiling:
+class TokenBucket:
     """What may go out: so much a second, and one second's worth at once."""
 
     rate: float
-    left: float = 0.0
-    at: float = 0.0
+    tokens: float = 0.0
+    updated_at: float = 0.0
 
     def __post_init__(self) -> None:
-        self.left = self.rate
+        self.tokens = self.rate
 
-    def takes(self, amount: float, now: float) -> bool:
-        self.left = min(self.rate, self.left + (now - self.at) * self.rate)
-        self.at = now
-        if self.left < amount:
+    def try_consume(self, amount: float, now: float) -> bool:
+        self.tokens = min(self.rate, self.tokens + (now - self.updated_at) * self.rate)
+        self.updated_at = now
+        if self.tokens < amount:
             return False
-        self.left -= amount
+        self.tokens -= amount
         return True
 
 
@@ -71,150 +74,180 @@
     rng: Random
     now: float
     members: Members = field(init=False)
-    facts: ZoneObservations = field(init=False)
+    observations: ZoneObservations = field(init=False)
     agreement: Agreement = field(init=False)
     plan: Plan = field(init=False)
     planned_at: float = field(init=False)
-    seen_at: float = -inf
-    passed_on: wire.Vote | None = None  # what others were told at once
-    passed_at: float = -inf
-    refused: tuple[float, float] | None = None  # an evacuation: what is needed, and what the rest can bear
-    figures: Counter[str] = field(default_factory=Counter)
-    datagrams: Ceiling = field(init=False)
-    size: Ceiling = field(init=False)
-    empty: dict[int, float] = field(default_factory=dict)  # zones: since when they have no room
-    filled: dict[int, float] = field(default_factory=dict)  # zones that are closed: since when they have
+    observed_at: float = -inf
+    broadcast_vote: wire.Vote | None = None  # what others were told at once
+    broadcast_at: float = -inf
+    refused_evacuation: tuple[float, float] | None = (
+        None  # an evacuation: what is needed, and what the rest can bear
+    )
+    counters: Counter[str] = field(default_factory=Counter)
+    datagram_bucket: TokenBucket = field(init=False)
+    byte_bucket: TokenBucket = field(init=False)
+    short_since: dict[int, float] = field(default_factory=dict)  # zones: since when they have no room
+    recovered_since: dict[int, float] = field(
+        default_factory=dict
+    )  # zones that are closed: since when they have
 
     def __post_init__(self) -> None:
         told = self.settings
         run = self.rng.getrandbits(63) + 1
         self.members = Members(
-            told.own_index, told.count, told.zone, run, told.regions, self.rng, told.period, due=self.now
+            told.own_index,
+            told.member_count,
+            told.zone,
+            run,
+            told.region_map_digest,
+            self.rng,
+            told.period,
+            next_period_at=self.now,
         )
-        self.facts = ZoneObservations(self.members, told.zones, len(told.kinds))
+        self.observations = ZoneObservations(self.members, told.zone_count, len(told.profile_costs))
         self.agreement = Agreement(self.members, self.rng, self.now)
-        self.plan, self.planned_at = plan.at_home(told.zones, len(told.kinds)), self.now
-        self.datagrams, self.size = Ceiling(told.datagrams, at=self.now), Ceiling(told.size, at=self.now)
+        self.plan, self.planned_at = plan.local_plan(told.zone_count, len(told.profile_costs)), self.now
+        self.datagram_bucket, self.byte_bucket = (
+            TokenBucket(told.max_datagrams_per_second, updated_at=self.now),
+            TokenBucket(told.max_bytes_per_second, updated_at=self.now),
+        )
 
     # In and out.
 
-    def receive(self, data: bytes, now: float) -> Out:
+    def receive(self, data: bytes, now: float) -> Datagrams:
         try:
-            packet = self.keys.open(data)
+            packet = self.keys.decode(data)
         except wire.RefusedDatagramError as why:
-            self.figures[f"refused: {why}"] += 1
+            self.counters[f"refused: {why}"] += 1
             return []
-        answers, believed = self.members.hears(packet, now)
+        answers, believed = self.members.receive(packet, now)
         if believed:
-            self.figures["heard"] += 1
-            for fact in packet.facts:
-                self.facts.hear(fact, now)
-            if packet.vote is not None and packet.regions == self.settings.regions:
+            self.counters["heard"] += 1
+            for fact in packet.observations:
+                self.observations.receive(fact, now)
+            if packet.vote is not None and packet.region_map_digest == self.settings.region_map_digest:
                 self.agreement.receive_vote(packet.vote, now)
         else:
-            self.figures["not believed"] += 1
-        return self._out(answers, now) + self._at_once(now)
+            self.counters["not believed"] += 1
+        return self._encode_packets(answers, now) + self._broadcast_changed_vote(now)
 
-    def timer_due(self, now: float) -> Out:
-        out = self._out(self.members.turns(now), now)
+    def timer_due(self, now: float) -> Datagrams:
+        out = self._encode_packets(self.members.timer_due(now), now)
         if now >= self.planned_at + self.settings.period:
-            self._plan(now)
-        return out + self._at_once(now)
+            self._update_plan(now)
+        return out + self._broadcast_changed_vote(now)
 
-    def _at_once(self, now: float) -> Out:
+    def _broadcast_changed_vote(self, now: float) -> Datagrams:
         """A vote that has changed is passed on at once, so that it comes round in a few steps at any size."""
-        vote = self.agreement.tells()
-        if vote == self.passed_on or now < self.passed_at + SOON * self.settings.period:
+        vote = self.agreement.vote_to_send()
+        if vote == self.broadcast_vote or now < self.broadcast_at + MIN_VOTE_INTERVAL * self.settings.period:
             return []
-        self.passed_on, self.passed_at = vote, now
-        return self._out(self.members.some(FAN), now)
+        self.broadcast_vote, self.broadcast_at = vote, now
+        return self._encode_packets(self.members.packets_to_random_peers(VOTE_FANOUT), now)
 
-    def next_at(self, now: float) -> float:
-        return max(now, min(self.members.next_at(now), self.planned_at + self.settings.period))
+    def next_timer_at(self, now: float) -> float:
+        return max(now, min(self.members.next_timer_at(now), self.planned_at + self.settings.period))
 
     def observe(self, seen: tuple[ZoneObservation, ...], now: float) -> None:
         """What this balancer sees. In a large tier told anew every other period: others' facts want room."""
         if self.observation_is_due(now):
-            self.seen_at = now
-            self.facts.see(seen, now)
+            self.observed_at = now
+            self.observations.record_own(seen, now)
 
     def observation_is_due(self, now: float) -> bool:
         """Whether it is time to look again; before that nothing need be reckoned."""
-        return now >= self.seen_at + (1 if self.settings.count < FEW else 2) * self.settings.period
+        return (
+            now
+            >= self.observed_at
+            + (1 if self.settings.member_count < SMALL_CLUSTER_SIZE else 2) * self.settings.period
+        )
 
-    def leave(self, now: float) -> Out:
-        return self._out(self.members.leave(), now)
+    def leave(self, now: float) -> Datagrams:
+        return self._encode_packets(self.members.leave(), now)
 
-    def _out(self, sends: list[Send], now: float) -> Out:
-        out: Out = []
+    def _encode_packets(self, sends: list[OutgoingPacket], now: float) -> Datagrams:
+        out: Datagrams = []
         for to, packet in sends:
             if packet.kind != wire.HELLO:
-                packet = msgspec.structs.replace(packet, vote=self.agreement.tells())
-                spare = wire.LARGEST - wire.size(packet) - 4  # a long list's head
+                packet = msgspec.structs.replace(packet, vote=self.agreement.vote_to_send())
+                spare = wire.MAX_DATAGRAM_BYTES - wire.encoded_size(packet) - 4  # a long list's head
                 if spare < 0:  # news gives way to the vote
-                    packet = msgspec.structs.replace(packet, news=packet.news[:1])
-                    spare = wire.LARGEST - wire.size(packet) - 4
-                packet = msgspec.structs.replace(packet, facts=self.facts.pick(spare, now))
-            data = self.keys.sign(packet)
-            if self.datagrams.takes(1.0, now) and self.size.takes(len(data), now):
-                self.figures["sent"] += 1
-                self.figures["sent bytes"] += len(data)
+                    packet = msgspec.structs.replace(packet, updates=packet.updates[:1])
+                    spare = wire.MAX_DATAGRAM_BYTES - wire.encoded_size(packet) - 4
+                packet = msgspec.structs.replace(
+                    packet, observations=self.observations.select_for_datagram(spare, now)
+                )
+            data = self.keys.encode(packet)
+            if self.datagram_bucket.try_consume(1.0, now) and self.byte_bucket.try_consume(len(data), now):
+                self.counters["sent"] += 1
+                self.counters["sent bytes"] += len(data)
                 out.append((to, data))
             else:
-                self.figures["over the ceiling"] += 1
+                self.counters["over the ceiling"] += 1
         return out
 
     # What is to be done.
 
-    def zones(self, now: float) -> tuple[Zone, ...]:
-        return self.facts.all_zones(now)
+    def zone_estimates(self, now: float) -> tuple[ZoneEstimate, ...]:
+        return self.observations.estimate_zones(now)
 
     def map_mismatch(self) -> bool:
         """Others have another region map: told, and nothing is acted on while they are as many as the
         rest."""
-        there = len(self.members.alive()) - 1
-        return 2 * len(self.members.strange) > there
+        there = len(self.members.live_members()) - 1
+        return 2 * len(self.members.map_mismatches) > there
 
-    def _plan(self, now: float) -> None:
+    def _update_plan(self, now: float) -> None:
         span, self.planned_at = now - self.planned_at, now
-        self.facts.forget(now)
-        zones = self.zones(now)
-        self._want(zones, now)
+        self.observations.expire(now)
+        zones = self.zone_estimates(now)
+        self._propose_closed_zones(zones, now)
         if self.map_mismatch():
-            target = plan.at_home(self.settings.zones, len(self.settings.kinds))
+            target = plan.local_plan(self.settings.zone_count, len(self.settings.profile_costs))
         else:
-            target = plan.make(zones, self.settings.kinds, self.settings.ways, self._closed(zones))
+            target = plan.compute_plan(
+                zones, self.settings.profile_costs, self.settings.links, self._zones_to_close(zones)
+            )
         before = self.plan
-        self.plan = plan.toward(self.plan, target, min(span, 4 * self.settings.period))
-        self.figures["plan steps"] += self.plan.shares != before.shares
+        self.plan = plan.step_toward(self.plan, target, min(span, 4 * self.settings.period))
+        self.counters["plan steps"] += self.plan.shares != before.shares
 
-    def _closed(self, zones: tuple[Zone, ...]) -> int:
+    def _zones_to_close(self, zones: tuple[ZoneEstimate, ...]) -> int:
         """What is agreed, as far as the own facts say that the rest can bear it: a zone with no room is
         closed anyhow, by having none."""
-        closed = self.agreement.closed
-        need, room = plan.bears(zones, closed)
-        empty = sum(1 << z for z, zone in enumerate(zones) if zone.room <= EMPTY * zone.warm)
+        closed = self.agreement.closed_zones
+        need, room = plan.demand_and_capacity(zones, closed)
+        empty = sum(
+            1 << z for z, zone in enumerate(zones) if zone.capacity <= CLOSE_BELOW * zone.warm_capacity
+        )
         return closed if need <= room else closed & empty
 
-    def _want(self, zones: tuple[Zone, ...], now: float) -> None:
+    def _propose_closed_zones(self, zones: tuple[ZoneEstimate, ...], now: float) -> None:
         """Which zones should be closed, by the facts and the operators; asked of the others once it lasts."""
         period, wanted = self.settings.period, 0
-        stands = sum(1 << z for z, zone in enumerate(zones) if zone.room > FILLED * zone.warm > 0.0)
-        self.agreement.stands = stands & ~self.settings.evacuate
-        self.agreement.look(now)
+        stands = sum(
+            1 << z for z, zone in enumerate(zones) if zone.capacity > REOPEN_ABOVE * zone.warm_capacity > 0.0
+        )
+        self.agreement.zones_with_room = stands & ~self.settings.evacuated_zones
+        self.agreement.reconsider(now)
         for z, zone in enumerate(zones):
-            closed = bool(self.agreement.closed >> z & 1)
-            has = zone.origins > 0 and zone.room > (FILLED if closed else EMPTY) * zone.warm and zone.warm > 0
-            for marks, holds in ((self.empty, not has), (self.filled, has)):
+            closed = bool(self.agreement.closed_zones >> z & 1)
+            has = (
+                zone.origin_count > 0
+                and zone.capacity > (REOPEN_ABOVE if closed else CLOSE_BELOW) * zone.warm_capacity
+                and zone.warm_capacity > 0
+            )
+            for marks, holds in ((self.short_since, not has), (self.recovered_since, has)):
                 if holds:
                     marks.setdefault(z, now)
                 else:
                     marks.pop(z, None)
             if closed:
-                wanted |= (now - self.filled.get(z, now) < LONG * period) << z
-            elif zone.origins:
-                wanted |= (now - self.empty.get(z, now) >= SHORT * period) << z
-        asked = self.settings.evacuate | wanted
-        need, room = plan.bears(zones, asked)
-        self.refused = (need, room) if self.settings.evacuate and need > room else None
+                wanted |= (now - self.recovered_since.get(z, now) < REOPEN_PERIODS * period) << z
+            elif zone.origin_count:
+                wanted |= (now - self.short_since.get(z, now) >= CLOSE_PERIODS * period) << z
+        asked = self.settings.evacuated_zones | wanted
+        need, room = plan.demand_and_capacity(zones, asked)
+        self.refused_evacuation = (need, room) if self.settings.evacuated_zones and need > room else None
         self.agreement.propose(asked if need <= room else wanted, now)
--- a/pointgw/cluster/plan.py
+++ b/pointgw/cluster/plan.py
@@ -14,36 +14,41 @@
 
 from dataclasses import dataclass
 
-from pointgw.cluster.observations import Zone
+from pointgw.cluster.observations import ZoneEstimate
 
-BOUND = 0.65  # of what a zone's ready servers can do: what is planned there at most
-TIGHT = 0.78  # the same, where some would be turned away else
-ROUNDS = 4  # of sharing what is left of a ring among those that want it
-LEAST = 1e-6  # mean servers that are not worth placing
-BAND = 0.03  # of a profile's traffic: a share that differs by less is left as it is
-OUT, BACK = 2.0, 0.15  # of a profile's traffic a second: the quickest change away from home, and back
-WAY = 0.5  # of the setup goal that a way may take up
+TARGET_UTILISATION = 0.65  # of what a zone's ready servers can do: what is planned there at most
+SHORTAGE_UTILISATION = 0.78  # the same, where some would be turned away else
+ROUNDS_PER_RING = 4  # of sharing what is left of a ring among those that want it
+MIN_LOAD = 1e-6  # mean servers that are not worth placing
+SHARE_DEADBAND = 0.03  # of a profile's traffic: a share that differs by less is left as it is
+RATE_AWAY, RATE_HOME = (
+    2.0,
+    0.15,
+)  # of a profile's traffic a second: the quickest change away from home, and back
+MAX_DELAY_SHARE = 0.5  # of the setup goal that a way may take up
 
-Share = tuple[float, ...]  # of one profile's traffic, by zone of servers; what is missing to 1 is turned away
+Shares = tuple[
+    float, ...
+]  # of one profile's traffic, by zone of servers; what is missing to 1 is turned away
 
 
 @dataclass(frozen=True, slots=True)
 class RegionLinks:
     """What is between zones."""
 
-    region: tuple[int, ...]  # of each zone
+    region_of_zone: tuple[int, ...]  # of each zone
     cost: dict[tuple[int, int], float]  # between two regions, either way round; absent: 1
     delay: dict[tuple[int, int], float]  # seconds that a setup takes longer between two regions; absent: 0
 
-    def ring(self, origin: int, zone: int) -> float:
+    def distance(self, origin: int, zone: int) -> float:
         """How far a zone is: 0 the own, under 1 the own region, then by cost."""
-        one, other = self.region[origin], self.region[zone]
+        one, other = self.region_of_zone[origin], self.region_of_zone[zone]
         if origin == zone:
             return 0.0
         return 0.5 if one == other else 1.0 + self.cost.get((min(one, other), max(one, other)), 1.0)
 
-    def late(self, origin: int, zone: int) -> float:
-        one, other = self.region[origin], self.region[zone]
+    def extra_delay(self, origin: int, zone: int) -> float:
+        one, other = self.region_of_zone[origin], self.region_of_zone[zone]
         return self.delay.get((min(one, other), max(one, other)), 0.0)
 
 
@@ -59,10 +64,10 @@
 class Plan:
     """For each zone of origin and profile, the shares over zones."""
 
-    shares: tuple[tuple[Share, ...], ...]
-    closed: int = 0  # zones as bits
+    shares: tuple[tuple[Shares, ...], ...]
+    closed_zones: int = 0  # zones as bits
 
-    def differ(self, other: Plan) -> float:
+    def max_difference(self, other: Plan) -> float:
         """The largest difference of any share."""
         return max(
             (
@@ -75,48 +80,48 @@
         )
 
 
-def at_home(zones: int, kinds: int) -> Plan:
+def local_plan(zones: int, kinds: int) -> Plan:
     """All traffic in its own zone: where nothing is known."""
     return Plan(
         tuple(tuple(tuple(float(w == z) for w in range(zones)) for _ in range(kinds)) for z in range(zones))
     )
 
 
-def make(
-    zones: tuple[Zone, ...], kinds: tuple[ProfileCosts, ...], ways: RegionLinks, closed: int = 0
+def compute_plan(
+    zones: tuple[ZoneEstimate, ...], kinds: tuple[ProfileCosts, ...], ways: RegionLinks, closed: int = 0
 ) -> Plan:
     """The plan that these facts give. A zone that none has told of has no room and needs nothing: its own
     traffic stays at home, for its balancers to decide by their own eyes."""
     count = len(zones)
     placed = [[[0.0] * count for _ in kinds] for _ in zones]
-    rest = {(z, k): _need(zones[z], k) for z in range(count) for k in range(len(kinds))}
-    rings = sorted({ways.ring(z, w) for z in range(count) for w in range(count)})
+    rest = {(z, k): _demand(zones[z], k) for z in range(count) for k in range(len(kinds))}
+    rings = sorted({ways.distance(z, w) for z in range(count) for w in range(count)})
     # Guards against clients that are turned away while servers could yet take them: a bound that is right
     # for a day with room is too low for one without. It hurts where servers grow slow long before they are
     # full.
-    for part in (BOUND, TIGHT - BOUND):
-        left = [0.0 if closed >> z & 1 else part * zone.room for z, zone in enumerate(zones)]
+    for part in (TARGET_UTILISATION, SHORTAGE_UTILISATION - TARGET_UTILISATION):
+        left = [0.0 if closed >> z & 1 else part * zone.capacity for z, zone in enumerate(zones)]
         for credit in sorted({kind.credit for kind in kinds}, reverse=True):
             same = {at: need for at, need in rest.items() if kinds[at[1]].credit == credit}
             for ring in rings:
-                for _ in range(ROUNDS):
-                    if not _share(same, left, placed, kinds, ways, ring):
+                for _ in range(ROUNDS_PER_RING):
+                    if not _fill_ring(same, left, placed, kinds, ways, ring):
                         break
             rest |= same
     return Plan(
         tuple(
-            tuple(_shares(placed[z][k], _need(zones[z], k), z, closed) for k in range(len(kinds)))
+            tuple(_to_shares(placed[z][k], _demand(zones[z], k), z, closed) for k in range(len(kinds)))
             for z in range(count)
         ),
         closed,
     )
 
 
-def _need(zone: Zone, kind: int) -> float:
-    return zone.need[kind] if kind < len(zone.need) else 0.0
+def _demand(zone: ZoneEstimate, kind: int) -> float:
+    return zone.demand[kind] if kind < len(zone.demand) else 0.0
 
 
-def _share(
+def _fill_ring(
     rest: dict[tuple[int, int], float],
     left: list[float],
     placed: list[list[list[float]]],
@@ -128,14 +133,14 @@
     where more comes than fits. False: nothing more fits or wants to go."""
     wants: dict[tuple[int, int, int], float] = {}
     for (z, k), need in rest.items():
-        if need <= LEAST:
+        if need <= MIN_LOAD:
             continue
         able = [
             w
             for w in range(len(left))
-            if ways.ring(z, w) == ring
-            and left[w] > LEAST
-            and (z == w or ways.late(z, w) <= WAY * kinds[k].attempt_timeout)
+            if ways.distance(z, w) == ring
+            and left[w] > MIN_LOAD
+            and (z == w or ways.extra_delay(z, w) <= MAX_DELAY_SHARE * kinds[k].attempt_timeout)
         ]
         room = sum(left[w] for w in able)
         for w in able:
@@ -150,35 +155,37 @@
     return bool(wants)
 
 
-def _shares(placed: list[float], need: float, origin: int, closed: int) -> Share:
-    if need <= LEAST:  # who comes all the same stays near
+def _to_shares(placed: list[float], need: float, origin: int, closed: int) -> Shares:
+    if need <= MIN_LOAD:  # who comes all the same stays near
         stay = [w for w in range(len(placed)) if not closed >> w & 1]
         near = [origin] if origin in stay else stay
         return tuple(1.0 / len(near) if w in near else 0.0 for w in range(len(placed)))
     return tuple(min(1.0, amount / need) for amount in placed)
 
 
-def toward(now: Plan, target: Plan, span: float) -> Plan:
+def step_toward(now: Plan, target: Plan, span: float) -> Plan:
     """A step of `span` seconds from the plan in force to another."""
     rows = []
     for z, (mine, theirs) in enumerate(zip(now.shares, target.shares, strict=True)):
-        rows.append(tuple(_toward(one, two, z, span) for one, two in zip(mine, theirs, strict=True)))
-    return Plan(tuple(rows), target.closed)
+        rows.append(tuple(_step_shares(one, two, z, span) for one, two in zip(mine, theirs, strict=True)))
+    return Plan(tuple(rows), target.closed_zones)
 
 
-def _toward(now: Share, target: Share, origin: int, span: float) -> Share:
-    if max(abs(a - b) for a, b in zip(now, target, strict=True)) < BAND:
+def _step_shares(now: Shares, target: Shares, origin: int, span: float) -> Shares:
+    if max(abs(a - b) for a, b in zip(now, target, strict=True)) < SHARE_DEADBAND:
         # Guards against clients that are turned away for ever by what is left of a step.
-        return target if sum(target) > 1.0 - LEAST else now
+        return target if sum(target) > 1.0 - MIN_LOAD else now
     # Coming home is what has to be slow: servers that are back may get little, and a zone may fall again.
-    rate = BACK if target[origin] > now[origin] else OUT
+    rate = RATE_HOME if target[origin] > now[origin] else RATE_AWAY
     most = max(abs(b - a) for a, b in zip(now, target, strict=True))
     part = min(1.0, rate * span / most)
     return tuple(a + part * (b - a) for a, b in zip(now, target, strict=True))
 
 
-def bears(zones: tuple[Zone, ...], closed: int) -> tuple[float, float]:
+def demand_and_capacity(zones: tuple[ZoneEstimate, ...], closed: int) -> tuple[float, float]:
     """What all clients need, and what the zones that stay open can bear: no closing may leave less than
     that."""
-    need = sum(sum(zone.need) for zone in zones)
-    return need, sum(BOUND * zone.room for z, zone in enumerate(zones) if not closed >> z & 1)
+    need = sum(sum(zone.demand) for zone in zones)
+    return need, sum(
+        TARGET_UTILISATION * zone.capacity for z, zone in enumerate(zones) if not closed >> z & 1
+    )
--- a/pointgw/cluster/settings.py
+++ b/pointgw/cluster/settings.py
@@ -13,24 +13,28 @@
 from pointgw.cluster.node import ClusterSettings
 from pointgw.cluster.plan import ProfileCosts, RegionLinks
 from pointgw.interface import Profile
-from pointgw.operators import RecoverySection
-from pointgw.operators import TierSection as Section
+from pointgw.operators import RecoverySection, TierSection
 
-SHORTEST = 16  # bytes of a key
+MIN_KEY_BYTES = 16  # bytes of a key
 
 Address = tuple[str, int]
 
 
 def cluster_settings(
-    section: Section, zones: tuple[str, ...], zone: int, profiles: tuple[Profile, ...], me: int, count: int
+    section: TierSection,
+    zones: tuple[str, ...],
+    zone: int,
+    profiles: tuple[Profile, ...],
+    me: int,
+    count: int,
 ) -> ClusterSettings:
     """Raises `validation.InvalidFileError` with all that is wrong."""
-    faults = list(_faults(section, zones))
+    faults = list(_find_problems(section, zones))
     if not 0 <= me < count:
         what = "a list with this balancer's own address in it"
         faults.append(validation.InvalidValue("tier.peers", str(count), what))
-    if count > wire.MOST_MEMBERS:
-        faults.append(validation.InvalidValue("tier.peers", str(count), f"at most {wire.MOST_MEMBERS}"))
+    if count > wire.MAX_MEMBERS:
+        faults.append(validation.InvalidValue("tier.peers", str(count), f"at most {wire.MAX_MEMBERS}"))
     if faults:
         raise validation.InvalidFileError("operators' file", faults)
     names = sorted(section.regions)
@@ -43,7 +47,7 @@
         cost[one, other], delay[one, other] = way.cost, way.delay
     return ClusterSettings(
         me, count, zone, len(zones), tuple(ProfileCosts(p.credit, p.attempt_timeout) for p in profiles),
-        RegionLinks(region, cost, delay), wire.digest(repr((zones, region, sorted(cost.items())))),
+        RegionLinks(region, cost, delay), wire.text_digest(repr((zones, region, sorted(cost.items())))),
         section.period, section.datagrams, section.bytes,
         sum(1 << zones.index(name) for name in section.evacuate),
     )  # fmt: skip
@@ -51,15 +55,15 @@
 
 def endpoints(
     name: str,
-    section: Section | RecoverySection,
+    section: TierSection | RecoverySection,
     peers: tuple[Address, ...],
     listen: Address | None,
     number: int,
 ) -> tuple[tuple[Address, ...], Address, int]:
     """All peers by number, where this one listens, and its number (-1: not among them); what a section does
     not tell is as the start-up file has it. Raises `validation.InvalidFileError`."""
-    peers = tuple(address(name, peer) for peer in section.peers) or peers
-    listen = address(name, section.listen) if section.listen else listen
+    peers = tuple(parse_address(name, peer) for peer in section.peers) or peers
+    listen = parse_address(name, section.listen) if section.listen else listen
     if listen is None:
         what = "HOST:PORT, as the start-up file has no peer_listen"
         raise validation.InvalidFileError(
@@ -68,7 +72,7 @@
     return peers, listen, number if number >= 0 else peers.index(listen) if listen in peers else -1
 
 
-def address(name: str, text: str) -> Address:
+def parse_address(name: str, text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise validation.InvalidFileError(
@@ -77,7 +81,7 @@
     return host, int(port)
 
 
-def _faults(section: Section, zones: tuple[str, ...]) -> Iterator[validation.InvalidValue]:
+def _find_problems(section: TierSection, zones: tuple[str, ...]) -> Iterator[validation.InvalidValue]:
     known = "one of " + ", ".join(zones)
     seen: set[str] = set()
     for region, names in sorted(section.regions.items()):
@@ -120,7 +124,7 @@
         found = tuple(bytes.fromhex(line) for line in lines)
     except ValueError:
         found = ()
-    if not 1 <= len(found) <= 2 or any(not SHORTEST <= len(key) <= 64 for key in found):
-        what = f"one or two keys of {SHORTEST} to 64 bytes, in hex"
+    if not 1 <= len(found) <= 2 or any(not MIN_KEY_BYTES <= len(key) <= 64 for key in found):
+        what = f"one or two keys of {MIN_KEY_BYTES} to 64 bytes, in hex"
         raise validation.InvalidFileError(path, [validation.InvalidValue("", "", what)])
     return wire.Keys(found)
--- a/pointgw/net/run/cluster.py
+++ b/pointgw/net/run/cluster.py
@@ -95,8 +95,8 @@
             _log.error("tier not read again", extra={"fields": {"why": why}})
             return
         evacuate = sum(1 << self.zones.index(name) for name in section.evacuate)
-        if evacuate != self.told.evacuate:
-            self.told = replace(self.told, evacuate=evacuate)
+        if evacuate != self.told.evacuated_zones:
+            self.told = replace(self.told, evacuated_zones=evacuate)
             if self.transport is not None:
                 self.transport.node.settings = self.told
             _log.info("tier", extra={"fields": {"evacuate": ",".join(section.evacuate) or "-"}})
@@ -119,7 +119,7 @@
         while self.away and next(iter(self.away.values()))[0] < now - TURNED_AWAY:
             del self.away[next(iter(self.away))]
         self.transport.node.observe(
-            seen(self.reducer, self.told.zones, [p for _, p in self.away.values()]), now
+            seen(self.reducer, self.told.zone_count, [p for _, p in self.away.values()]), now
         )
 
     def _act(self, now: float) -> None:
@@ -129,15 +129,15 @@
         mine = tier.plan.shares[self.told.zone]
         near = all(share[self.told.zone] == 1.0 for share in mine)
         balancer.zone_shares = {} if near else dict(zip(balancer.profiles, mine, strict=True))
-        agreed = tier.agreement.agreed
-        said = (len(tier.members.alive()), agreed, tier.map_mismatch())
+        agreed = tier.agreement.agreed_vote
+        said = (len(tier.members.live_members()), agreed, tier.map_mismatch())
         if said != self.said:
             self.said = said
             _log.info("tier", extra={"fields": self._standing(now)})
-        if (tier.refused is not None) is not self.refused:
-            self.refused = tier.refused is not None
-            if tier.refused is not None:
-                need, room = tier.refused
+        if (tier.refused_evacuation is not None) is not self.refused:
+            self.refused = tier.refused_evacuation is not None
+            if tier.refused_evacuation is not None:
+                need, room = tier.refused_evacuation
                 figures = {"need": round(need, 2), "rest_bears": round(room, 2)}
                 _log.warning("evacuation refused", extra={"fields": figures})
         if self.status and self.writing is None and now >= self.shown_at + STATUS_EVERY:
@@ -147,12 +147,12 @@
     def _standing(self, now: float) -> dict[str, object]:
         assert self.transport is not None
         tier = self.transport.node
-        agreed = tier.agreement.agreed
-        closed = [name for z, name in enumerate(self.zones) if tier.agreement.closed >> z & 1]
+        agreed = tier.agreement.agreed_vote
+        closed = [name for z, name in enumerate(self.zones) if tier.agreement.closed_zones >> z & 1]
         return {
-            "there": len(tier.members.alive()), "of": self.told.count,
+            "there": len(tier.members.live_members()), "of": self.told.member_count,
             "term": agreed.term if agreed is not None else 0, "closed": ",".join(closed) or "-",
-            "other_maps": len(tier.members.strange), "doubt": tier.members.doubt,
+            "other_maps": len(tier.members.map_mismatches), "doubt": tier.members.health_score,
         }  # fmt: skip
 
     def _write(self, now: float) -> None:
@@ -164,13 +164,17 @@
             for profile, row in zip(self.profiles, tier.plan.shares[self.told.zone], strict=True)
         }
         zones = {
-            name: {"room": round(z.room, 2), "warm": round(z.warm, 2), "need": round(sum(z.need), 2)}
-            for name, z in zip(self.zones, tier.zones(now), strict=True)
+            name: {
+                "room": round(z.capacity, 2),
+                "warm": round(z.warm_capacity, 2),
+                "need": round(sum(z.demand), 2),
+            }
+            for name, z in zip(self.zones, tier.zone_estimates(now), strict=True)
         }
-        members = {str(m.number): m.state.name.lower() for m in tier.members.others.values()}
+        members = {str(m.index): m.state.name.lower() for m in tier.members.peers.values()}
         told = self._standing(now) | {
             "me": self.told.own_index, "members": members, "zones": zones, "shares": shares,
-            "figures": dict(tier.figures),
+            "figures": dict(tier.counters),
         }  # fmt: skip
         data = msgspec.json.encode(told)
         self.writing = self.transport.loop.run_in_executor(None, replace_whole, self.status, data)
--- a/pointgw/net/run/recovery.py
+++ b/pointgw/net/run/recovery.py
@@ -18,7 +18,7 @@
 from pointgw import operators, validation
 from pointgw.cluster import settings
 from pointgw.cluster.transport import ClusterTransport as TierVoice
-from pointgw.cluster.wire import MOST_MEMBERS, Keys
+from pointgw.cluster.wire import MAX_MEMBERS, Keys
 from pointgw.net.core.reducer import Reducer
 from pointgw.net.wire.start_up import StartUpSettings
 from pointgw.policy import Balancer, Tunnel
@@ -54,8 +54,8 @@
             peers, listen, me = settings.endpoints(
                 "recovery", section, start.peers, start.peer_listen, start.balancer_index
             )
-            if not 0 <= me < len(peers) <= MOST_MEMBERS:
-                what = f"a list of at most {MOST_MEMBERS} with this balancer's own address in it"
+            if not 0 <= me < len(peers) <= MAX_MEMBERS:
+                what = f"a list of at most {MAX_MEMBERS} with this balancer's own address in it"
                 fault = validation.InvalidValue("recovery.peers", str(len(peers)), what)
                 raise validation.InvalidFileError("operators' file", [fault])
             return cls(section, settings.read_keys(section.key_file), peers, listen, me)
@@ -84,7 +84,7 @@
             voice = LeaseTransport(loans, self.keys, self.peers, loop, self._changed)
             if tier is not None and tier.transport is not None:
                 voice.transport = tier.transport
-                tier.others[messages.MAGIC] = voice.datagram_received
+                tier.handlers_by_magic[messages.MAGIC] = voice.datagram_received
             else:
                 try:
                     await voice.listen(self.listen)
@@ -107,16 +107,19 @@
         waits = bool(balancer.queue) or now < balancer.no_room_until
         seen = look(balancer, waits, now)
         if self.transport is not None:
-            self.transport.ask(waits and seen.cold > 0, not waits)
+            self.transport.send_requests(waits and seen.cold > 0, not waits)
             self._changed(loop.time())
-        was, stands = self.standing.phase, self.standing.look(seen, loop.time())
+        was, stands = self.standing.phase, self.standing.update(seen, loop.time())
         balancer.queue_priority = _rank if self.section.order and stands is Phase.FILLING else None
         if stands is not was:
             fields: dict[str, object] = {
-                "phase": stands.value, "servers": seen.servers, "heard": seen.heard, "cold": seen.cold,
+                "phase": stands.value, "servers": seen.in_use, "heard": seen.answered, "cold": seen.cold,
             }  # fmt: skip
             if self.transport is not None:
-                fields |= {"borrowed": self.transport.leases.borrowed, "lent": self.transport.leases.granted}
+                fields |= {
+                    "borrowed": self.transport.leases.borrowed_count,
+                    "lent": self.transport.leases.granted_count,
+                }
             _log.info("recovery", extra={"fields": fields})
         self.timer = loop.call_later(self.every, self._look)
 
@@ -129,7 +132,7 @@
 
 
 def _rank(tun: Tunnel) -> float:
-    return phase.rank(tun.profile, tun.is_returning)
+    return phase.queue_priority(tun.profile, tun.is_returning)
 
 
 def look(balancer: Balancer, waits: bool, now: float) -> phase.ServerCounts:
--- a/pointgw/recovery/leases.py
+++ b/pointgw/recovery/leases.py
@@ -23,103 +23,112 @@
 from math import inf
 from random import Random
 
-OWN = 0.1  # of its part that a lender keeps
+RESERVED_SHARE = 0.1  # of its part that a lender keeps
 LEASE_DURATION = 0.5  # of the tip span: how long a loan lasts from when it was asked for
 LESSOR_MARGIN = (
     0.1  # of that: how much longer the lender goes without it, as a borrower sees an end a little late
 )
-AGAIN = 0.25  # of it, until who is not answered, or whose loan ends, is asked again
-FAN = 3  # that are asked at a time
-FEW = 25  # balancers for each one that may borrow of another
+REQUEST_INTERVAL = 0.25  # of it, until who is not answered, or whose loan ends, is asked again
+REQUEST_FANOUT = 3  # that are asked at a time
+BALANCERS_PER_LESSOR = 25  # balancers for each one that may borrow of another
 
-Ask = tuple[int, int]  # whom, the question's number
+LeaseRequest = tuple[int, int]  # whom, the question's number
 
 
-def few(balancers: int) -> int:
+def lessor_count(balancers: int) -> int:
     """Of how many each may borrow."""
-    return min(balancers - 1, max(1, balancers // FEW))
+    return min(balancers - 1, max(1, balancers // BALANCERS_PER_LESSOR))
 
 
 @dataclass(slots=True)
 class Lease:
     """What is borrowed of one other, and the question to it that is open."""
 
-    ends: float = -inf  # of what was lent
-    number: int = 0  # of the question; 0: none is open
-    asked: float = -inf
+    expires_at: float = -inf  # of what was lent
+    request_id: int = 0  # of the question; 0: none is open
+    requested_at: float = -inf
 
 
 @dataclass(slots=True)
 class Leases:
-    me: int
-    count: int
-    span: float  # the tip span, in seconds
+    own_index: int
+    balancer_count: int
+    overload_window: float  # the tip span, in seconds
     rng: Random
-    started: float
-    lenders: tuple[int, ...] = ()  # those that this one may borrow of
-    loans: dict[int, Lease] = field(default_factory=dict)  # by lender
-    asked_at: float = -inf
-    turn: int = 0  # which lender is asked next
-    lent_to: int = -1
-    lent_until: float = -inf
-    idle: bool = False  # nothing waits here
-    borrowed: int = 0  # loans so far
-    granted: int = 0
+    started_at: float
+    lessors: tuple[int, ...] = ()  # those that this one may borrow of
+    by_lessor: dict[int, Lease] = field(default_factory=dict)  # by lender
+    last_request_at: float = -inf
+    next_lessor: int = 0  # which lender is asked next
+    lessee: int = -1
+    granted_until: float = -inf
+    is_idle: bool = False  # nothing waits here
+    borrowed_count: int = 0  # loans so far
+    granted_count: int = 0
 
     def __post_init__(self) -> None:
-        self.lenders = tuple((self.me + i) % self.count for i in range(1, few(self.count) + 1))
-        self.loans = {lender: Lease() for lender in self.lenders}
-        self.lent_until = self.started + (1.0 + LESSOR_MARGIN) * self.lease
+        self.lessors = tuple(
+            (self.own_index + i) % self.balancer_count
+            for i in range(1, lessor_count(self.balancer_count) + 1)
+        )
+        self.by_lessor = {lender: Lease() for lender in self.lessors}
+        self.granted_until = self.started_at + (1.0 + LESSOR_MARGIN) * self.lease_seconds
 
     @property
-    def lease(self) -> float:
-        return LEASE_DURATION * self.span
+    def lease_seconds(self) -> float:
+        return LEASE_DURATION * self.overload_window
 
     def budget_share(self, now: float) -> float:
         """What this one may use of the budget, in parts of 1/N."""
-        own = OWN if now < self.lent_until else 1.0
-        return own + (1.0 - OWN) * sum(now < loan.ends for loan in self.loans.values())
+        own = RESERVED_SHARE if now < self.granted_until else 1.0
+        return own + (1.0 - RESERVED_SHARE) * sum(now < loan.expires_at for loan in self.by_lessor.values())
 
-    def requests_due(self, needs: bool, idle: bool, now: float) -> list[Ask]:
+    def requests_due(self, needs: bool, idle: bool, now: float) -> list[LeaseRequest]:
         """What is asked of whom now. `needs`: tunnels wait that cold servers could take; `idle`: nothing
         waits, nor was turned away lately."""
-        self.idle = idle
-        if not needs or now < self.asked_at + AGAIN * self.lease:
+        self.is_idle = idle
+        if not needs or now < self.last_request_at + REQUEST_INTERVAL * self.lease_seconds:
             return []
-        self.asked_at = now
-        runs_out = [n for n, loan in self.loans.items() if now < loan.ends <= now + 2 * AGAIN * self.lease]
-        out: list[Ask] = []
-        for lender in runs_out[:FAN]:
-            self._ask(lender, now, out)
-        for _ in self.lenders:
-            if len(out) >= FAN:
+        self.last_request_at = now
+        runs_out = [
+            n
+            for n, loan in self.by_lessor.items()
+            if now < loan.expires_at <= now + 2 * REQUEST_INTERVAL * self.lease_seconds
+        ]
+        out: list[LeaseRequest] = []
+        for lender in runs_out[:REQUEST_FANOUT]:
+            self._open_request(lender, now, out)
+        for _ in self.lessors:
+            if len(out) >= REQUEST_FANOUT:
                 break
-            lender = self.lenders[self.turn % len(self.lenders)]
-            self.turn += 1
-            if self.loans[lender].ends <= now:
-                self._ask(lender, now, out)
+            lender = self.lessors[self.next_lessor % len(self.lessors)]
+            self.next_lessor += 1
+            if self.by_lessor[lender].expires_at <= now:
+                self._open_request(lender, now, out)
         return out
 
-    def _ask(self, lender: int, now: float, out: list[Ask]) -> None:
-        loan = self.loans[lender]
-        loan.number, loan.asked = self.rng.getrandbits(62) + 1, now
-        out.append((lender, loan.number))
+    def _open_request(self, lender: int, now: float, out: list[LeaseRequest]) -> None:
+        loan = self.by_lessor[lender]
+        loan.request_id, loan.requested_at = self.rng.getrandbits(62) + 1, now
+        out.append((lender, loan.request_id))
 
     def receive_request(self, borrower: int, now: float) -> bool:
         """Another asks; True where it gets this one's part."""
-        may = (self.me - borrower) % self.count in range(1, few(self.count) + 1)
-        free = now >= self.lent_until or borrower == self.lent_to
-        if not (may and free and self.idle):
+        may = (self.own_index - borrower) % self.balancer_count in range(
+            1, lessor_count(self.balancer_count) + 1
+        )
+        free = now >= self.granted_until or borrower == self.lessee
+        if not (may and free and self.is_idle):
             return False
-        self.lent_to, self.lent_until = borrower, now + (1.0 + LESSOR_MARGIN) * self.lease
-        self.granted += 1
+        self.lessee, self.granted_until = borrower, now + (1.0 + LESSOR_MARGIN) * self.lease_seconds
+        self.granted_count += 1
         return True
 
     def receive_grant(self, lender: int, number: int, now: float) -> bool:
         """An answer: the part of `lender` is lent. True where that is so."""
-        loan = self.loans.get(lender)
-        if loan is None or not number or loan.number != number:
+        loan = self.by_lessor.get(lender)
+        if loan is None or not number or loan.request_id != number:
             return False
-        loan.number, loan.ends = 0, loan.asked + self.lease
-        self.borrowed += now < loan.ends
-        return now < loan.ends
+        loan.request_id, loan.expires_at = 0, loan.requested_at + self.lease_seconds
+        self.borrowed_count += now < loan.expires_at
+        return now < loan.expires_at
--- a/pointgw/recovery/messages.py
+++ b/pointgw/recovery/messages.py
@@ -10,35 +10,35 @@
 
 import msgspec
 
-from pointgw.cluster.wire import Count, Keys, Number, RefusedDatagramError, Run, Struct
+from pointgw.cluster.wire import ArrayStruct, Keys, MemberIndex, RefusedDatagramError, RunId, UInt32
 
 MAGIC = b"pl"
 
 
-What = Literal[0, 1]
-ASK: What = 0
-LEND: What = 1
+MessageKind = Literal[0, 1]
+REQUEST: MessageKind = 0
+GRANT: MessageKind = 1
 
 
-class LeaseMessage(Struct, frozen=True, array_like=True):
-    what: What  # a question, or the answer that lends
-    sender: Number
-    to: Number
-    number: Run
-    balancers: Count  # as the sender has them: another number is another tier, and nothing is lent
+class LeaseMessage(ArrayStruct, frozen=True, array_like=True):
+    kind: MessageKind  # a question, or the answer that lends
+    sender: MemberIndex
+    receiver: MemberIndex
+    request_id: RunId
+    balancer_count: UInt32  # as the sender has them: another number is another tier, and nothing is lent
 
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(LeaseMessage)
 
 
-def seal(word: LeaseMessage, keys: Keys) -> bytes:
-    return keys.seal(_encoder.encode(word), MAGIC)
+def encode(word: LeaseMessage, keys: Keys) -> bytes:
+    return keys.sign_body(_encoder.encode(word), MAGIC)
 
 
-def unseal(data: bytes, keys: Keys) -> LeaseMessage:
+def decode(data: bytes, keys: Keys) -> LeaseMessage:
     """Raises `RefusedDatagramError`."""
-    body = keys.unseal(data, MAGIC)
+    body = keys.verify_body(data, MAGIC)
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
--- a/pointgw/recovery/phase.py
+++ b/pointgw/recovery/phase.py
@@ -13,16 +13,16 @@
 
 from pointgw.interface import Profile
 
-KNOWN = 0.5  # of the servers: heard, so that it is known what stands
-ENTER, LEAVE = 0.25, 0.1  # of the servers in use: cold ones
-KEPT = 0.25  # of the warm-up: how long it is filling at least
-BACK = 1e-6  # of the credit: who comes back goes first among equals
-LONGEST = 1.0  # of the warm-up: how long a balancer looks for servers before it counts what it has
+KNOWN_SHARE = 0.5  # of the servers: heard, so that it is known what stands
+ENTER_COLD_SHARE, LEAVE_COLD_SHARE = 0.25, 0.1  # of the servers in use: cold ones
+MIN_FILLING_TIME = 0.25  # of the warm-up: how long it is filling at least
+RETURNING_BONUS = 1e-6  # of the credit: who comes back goes first among equals
+MAX_FINDING_TIME = 1.0  # of the warm-up: how long a balancer looks for servers before it counts what it has
 
 
-def rank(profile: Profile, back: bool) -> float:
+def queue_priority(profile: Profile, back: bool) -> float:
     """The lower, the sooner it is served: higher credit first, of one credit those that come back."""
-    return -(profile.credit + profile.credit * BACK * back)
+    return -(profile.credit + profile.credit * RETURNING_BONUS * back)
 
 
 class Phase(Enum):
@@ -31,7 +31,7 @@
     STEADY = "steady"
 
 
-NEXT = {
+TRANSITIONS = {
     Phase.FINDING: (Phase.FILLING, Phase.STEADY),
     Phase.FILLING: (Phase.STEADY,),
     Phase.STEADY: (Phase.FILLING,),
@@ -42,37 +42,38 @@
 class ServerCounts:
     """What a balancer sees of its servers."""
 
-    servers: int  # in use
-    heard: int  # of them, those that have answered
+    in_use: int  # in use
+    answered: int  # of them, those that have answered
     cold: int  # of them, those that are cold, or without a process
-    waits: bool  # tunnels wait, or were turned away lately
+    tunnels_waiting: bool  # tunnels wait, or were turned away lately
 
 
 @dataclass(slots=True)
 class RecoveryPhaseTracker:
-    warm_up: float  # seconds
+    warm_up_window: float  # seconds
     since: float
     phase: Phase = Phase.FINDING
-    held: float = -inf  # when filling last held
+    last_filling_at: float = -inf  # when filling last held
 
-    def look(self, seen: ServerCounts, now: float) -> Phase:
-        most = seen.servers or 1
+    def update(self, seen: ServerCounts, now: float) -> Phase:
+        most = seen.in_use or 1
         cold = seen.cold / most
         if self.phase is not Phase.FILLING:
-            if seen.servers and cold >= ENTER and seen.waits:
-                self._to(Phase.FILLING, now)
+            if seen.in_use and cold >= ENTER_COLD_SHARE and seen.tunnels_waiting:
+                self._set_phase(Phase.FILLING, now)
             elif self.phase is Phase.FINDING and (
-                seen.heard >= KNOWN * most or now >= self.since + LONGEST * self.warm_up
+                seen.answered >= KNOWN_SHARE * most
+                or now >= self.since + MAX_FINDING_TIME * self.warm_up_window
             ):
-                self._to(Phase.STEADY, now)
-        elif cold > LEAVE and seen.waits:
-            self.held = now
-        elif now >= max(self.held, self.since) + KEPT * self.warm_up:
-            self._to(Phase.STEADY, now)
+                self._set_phase(Phase.STEADY, now)
+        elif cold > LEAVE_COLD_SHARE and seen.tunnels_waiting:
+            self.last_filling_at = now
+        elif now >= max(self.last_filling_at, self.since) + MIN_FILLING_TIME * self.warm_up_window:
+            self._set_phase(Phase.STEADY, now)
         return self.phase
 
-    def _to(self, phase: Phase, now: float) -> None:
+    def _set_phase(self, phase: Phase, now: float) -> None:
         """The one place where the phase changes."""
-        if phase not in NEXT[self.phase]:
+        if phase not in TRANSITIONS[self.phase]:
             raise ValueError(f"{self.phase.value} cannot become {phase.value}")
         self.phase, self.since = phase, now
--- a/pointgw/recovery/transport.py
+++ b/pointgw/recovery/transport.py
@@ -27,9 +27,9 @@
         loop: asyncio.AbstractEventLoop,
         changed: Callable[[float], None],
     ) -> None:
-        self.leases, self.keys, self.peers, self.loop, self.changed = loans, keys, peers, loop, changed
+        self.leases, self.keys, self.peers, self.loop, self.on_change = loans, keys, peers, loop, changed
         self.transport: asyncio.DatagramTransport | None = None
-        self.figures: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
 
     async def listen(self, at: Address) -> None:
         """Raises `OSError` where the address can't be had."""
@@ -40,34 +40,38 @@
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         if not self.keys.keys and not ipaddress.ip_address(addr[0]).is_loopback:
-            self.figures["refused: unsigned, from elsewhere"] += 1
+            self.counters["refused: unsigned, from elsewhere"] += 1
             return
         try:
-            word = messages.unseal(data, self.keys)
+            word = messages.decode(data, self.keys)
         except RefusedDatagramError as why:
-            self.figures[f"refused: {why}"] += 1
+            self.counters[f"refused: {why}"] += 1
             return
         loans, now = self.leases, self.loop.time()
-        if word.to != loans.me or word.balancers != loans.count or word.sender >= loans.count:
-            self.figures["refused: another tier's"] += 1
-        elif word.what == messages.ASK and loans.receive_request(word.sender, now):
-            self.changed(now)  # first: what is lent is not used here any more
-            self._say(messages.LEND, word.sender, word.number)
-        elif word.what == messages.LEND and loans.receive_grant(word.sender, word.number, now):
-            self.changed(now)
+        if (
+            word.receiver != loans.own_index
+            or word.balancer_count != loans.balancer_count
+            or word.sender >= loans.balancer_count
+        ):
+            self.counters["refused: another tier's"] += 1
+        elif word.kind == messages.REQUEST and loans.receive_request(word.sender, now):
+            self.on_change(now)  # first: what is lent is not used here any more
+            self._send(messages.GRANT, word.sender, word.request_id)
+        elif word.kind == messages.GRANT and loans.receive_grant(word.sender, word.request_id, now):
+            self.on_change(now)
 
-    def ask(self, needs: bool, idle: bool) -> None:
+    def send_requests(self, needs: bool, idle: bool) -> None:
         for lender, number in self.leases.requests_due(needs, idle, self.loop.time()):
-            self._say(messages.ASK, lender, number)
+            self._send(messages.REQUEST, lender, number)
 
-    def _say(self, what: messages.What, to: int, number: int) -> None:
-        word = LeaseMessage(what, self.leases.me, to, number, self.leases.count)
+    def _send(self, what: messages.MessageKind, to: int, number: int) -> None:
+        word = LeaseMessage(what, self.leases.own_index, to, number, self.leases.balancer_count)
         if self.transport is not None and not self.transport.is_closing():
-            self.figures["sent"] += 1
-            self.transport.sendto(messages.seal(word, self.keys), self.peers[to])
+            self.counters["sent"] += 1
+            self.transport.sendto(messages.encode(word, self.keys), self.peers[to])
 
     def error_received(self, exc: Exception) -> None:
-        self.figures["not delivered"] += 1  # nobody listens there
+        self.counters["not delivered"] += 1  # nobody listens there
 
     def stop(self) -> None:
         if self.transport is not None:
--- a/tests/tier_world.py
+++ b/tests/cluster_world.py
@@ -16,20 +16,20 @@
 KINDS = (ProfileCosts(2.0, 0.3), ProfileCosts(1.0, 0.3))
 
 
-class World:
+class SimulatedCluster:
     """So many nodes, a queue of datagrams, and what is lost between whom."""
 
     def __init__(self, size: int, seed: int = 1, zones: int = 3, **told: Any) -> None:
         self.rng, self.now, self.order = Random(seed), 0.0, count()
-        self.zones, self.size, self.told = zones, size, told
+        self.zones, self.size, self.settings = zones, size, told
         self.nodes: dict[int, ClusterNode] = {}
         self.queue: list[tuple[float, int, str, int, bytes]] = []
         self.loss, self.delay = 0.0, 0.01
-        self.cut: set[int] = set()  # these hear only one another
-        self.mute: set[int] = set()  # what these say is lost
-        self.room = [8.0] * zones
-        self.seen_by: dict[int, list[float]] = {}  # who sees other rooms than are there
-        self.says: dict[int, tuple[ZoneObservation, ...]] = {}  # who lies, and what it says
+        self.partition: set[int] = set()  # these hear only one another
+        self.muted: set[int] = set()  # what these say is lost
+        self.capacity = [8.0] * zones
+        self.capacity_seen_by: dict[int, list[float]] = {}  # who sees other rooms than are there
+        self.forged_observations: dict[int, tuple[ZoneObservation, ...]] = {}  # who lies, and what it says
         self.paused: set[int] = set()
         self.recorded: list[tuple[int, bytes]] | None = None
         for number in range(size):
@@ -38,9 +38,9 @@
     def start(self, number: int) -> None:
         region = tuple(z // 2 for z in range(self.zones))
         told = ClusterSettings(number, self.size, number % self.zones, self.zones, KINDS,
-                               RegionLinks(region, {}, {}), 1, **self.told)  # fmt: skip
+                               RegionLinks(region, {}, {}), 1, **self.settings)  # fmt: skip
         self.nodes[number] = ClusterNode(told, Keys((KEY,)), Random(self.rng.random()), self.now)
-        self._later("turn", number, self.rng.random() * 0.2)
+        self._schedule("turn", number, self.rng.random() * 0.2)
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
@@ -51,30 +51,30 @@
                 continue
             if number in self.paused:
                 if what == "turn":
-                    self._later("turn", number, 0.5)
+                    self._schedule("turn", number, 0.5)
                 continue
             if what == "turn":
-                self._see(number, node)
+                self._observe(number, node)
                 out = node.timer_due(self.now)
-                self._later("turn", number, max(0.005, node.next_at(self.now) - self.now))
+                self._schedule("turn", number, max(0.005, node.next_timer_at(self.now) - self.now))
             else:
                 out = node.receive(data, self.now)
             for to, sent in out:
-                apart = (number in self.cut) is not (to in self.cut)
-                if not apart and number not in self.mute and self.rng.random() >= self.loss:
-                    self._later("data", to, self.rng.uniform(0.2, 1.0) * self.delay, sent)
+                apart = (number in self.partition) is not (to in self.partition)
+                if not apart and number not in self.muted and self.rng.random() >= self.loss:
+                    self._schedule("data", to, self.rng.uniform(0.2, 1.0) * self.delay, sent)
         self.now = until
 
-    def _later(self, what: str, number: int, delay: float, data: bytes = b"") -> None:
+    def _schedule(self, what: str, number: int, delay: float, data: bytes = b"") -> None:
         if data and self.recorded is not None:
             self.recorded.append((number, data))
         heapq.heappush(self.queue, (self.now + delay, next(self.order), what, number, data))
 
-    def _see(self, number: int, node: ClusterNode) -> None:
-        if number in self.says:
-            node.observe(self.says[number], self.now)
+    def _observe(self, number: int, node: ClusterNode) -> None:
+        if number in self.forged_observations:
+            node.observe(self.forged_observations[number], self.now)
             return
-        rooms, own = self.seen_by.get(number, self.room), number % self.zones
+        rooms, own = self.capacity_seen_by.get(number, self.capacity), number % self.zones
         share = max(1, self.size // self.zones)
         node.observe(
             tuple(
@@ -86,8 +86,8 @@
             self.now,
         )
 
-    def there(self) -> list[list[int]]:
-        return [node.members.alive() for n, node in sorted(self.nodes.items()) if n not in self.paused]
+    def live_members(self) -> list[list[int]]:
+        return [node.members.live_members() for n, node in sorted(self.nodes.items()) if n not in self.paused]
 
-    def closed(self) -> set[int]:
-        return {node.agreement.closed for n, node in self.nodes.items() if n not in self.paused}
+    def closed_zones(self) -> set[int]:
+        return {node.agreement.closed_zones for n, node in self.nodes.items() if n not in self.paused}
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -20,9 +20,16 @@
 from pointgw.net.run.recovery import RecoveryRunner
 from pointgw.net.wire.start_up import StartUpSettings, parse_start_up_file
 from pointgw.recovery import messages
-from pointgw.recovery.leases import AGAIN, LEASE_DURATION, OWN, Leases, few
+from pointgw.recovery.leases import LEASE_DURATION, REQUEST_INTERVAL, RESERVED_SHARE, Leases, lessor_count
 from pointgw.recovery.messages import LeaseMessage
-from pointgw.recovery.phase import KEPT, LONGEST, Phase, RecoveryPhaseTracker, ServerCounts, rank
+from pointgw.recovery.phase import (
+    MAX_FINDING_TIME,
+    MIN_FILLING_TIME,
+    Phase,
+    RecoveryPhaseTracker,
+    ServerCounts,
+    queue_priority,
+)
 
 SPAN = 2.0
 KEY = Keys((b"0123456789abcdef",))
@@ -35,7 +42,7 @@
 
 def changes(balancer: Leases) -> list[float]:
     """When its part changes by itself."""
-    return [balancer.lent_until, *(loan.ends for loan in balancer.loans.values())]
+    return [balancer.granted_until, *(loan.expires_at for loan in balancer.by_lessor.values())]
 
 
 class Box:
@@ -62,8 +69,8 @@
             self.send(now, partial(self._asked, borrower, self.all[lender], number))
 
     def _asked(self, borrower: Leases, lender: Leases, number: int, now: float) -> None:
-        if lender.receive_request(borrower.me, now):
-            self.send(now, partial(borrower.receive_grant, lender.me, number))
+        if lender.receive_request(borrower.own_index, now):
+            self.send(now, partial(borrower.receive_grant, lender.own_index, number))
 
 
 @settings(max_examples=60, deadline=None)
@@ -103,16 +110,16 @@
         now = step * 0.05
         box.deliver(now)
         for b in all_of_them:
-            box.ask(b, b.me in waiting, now)
+            box.ask(b, b.own_index in waiting, now)
         sent = box.count
     now = 2.0
     parts = [all_of_them[n].budget_share(now) for n in waiting]
-    others = [b.budget_share(now) for b in all_of_them if b.me not in waiting]
-    assert sum(parts) / len(parts) > 1.0 + 0.7 * min(few(count), 1.0) * (1 - len(waiting) / count)
-    assert len(parts) < 3 or sum(parts) / len(parts) > 0.6 * (1 + min(few(count), 8))
-    assert min(others) == pytest.approx(OWN)
+    others = [b.budget_share(now) for b in all_of_them if b.own_index not in waiting]
+    assert sum(parts) / len(parts) > 1.0 + 0.7 * min(lessor_count(count), 1.0) * (1 - len(waiting) / count)
+    assert len(parts) < 3 or sum(parts) / len(parts) > 0.6 * (1 + min(lessor_count(count), 8))
+    assert min(others) == pytest.approx(RESERVED_SHARE)
     # What it costs: a question and its answer for each loan, four times a lease at most.
-    assert sent <= 2.0 * len(waiting) * 3 / (AGAIN * LEASE_DURATION * SPAN) * 2.0
+    assert sent <= 2.0 * len(waiting) * 3 / (REQUEST_INTERVAL * LEASE_DURATION * SPAN) * 2.0
 
 
 def test_a_late_answer_is_a_loan_only_for_what_is_left_of_it() -> None:
@@ -120,11 +127,11 @@
     ((who, number),) = borrower.requests_due(True, False, 0.0)
     assert who == 1
     lender.requests_due(False, True, 0.0)
-    assert lender.receive_request(0, 0.4) and lender.budget_share(0.4) == OWN
+    assert lender.receive_request(0, 0.4) and lender.budget_share(0.4) == RESERVED_SHARE
     assert borrower.receive_grant(1, number, 0.9) and borrower.budget_share(0.9) == pytest.approx(1.9)
     assert (
         borrower.budget_share(1.0) == 1.0
-        and lender.budget_share(1.49) == OWN
+        and lender.budget_share(1.49) == RESERVED_SHARE
         and lender.budget_share(1.5) == 1.0
     )
 
@@ -145,11 +152,11 @@
     # Its word costs what those may take of it that it may lend to; others don't ask it.
     all_of_them = tier(count)
     for b in all_of_them:
-        for step in range(2 * few(count)):
+        for step in range(2 * lessor_count(count)):
             for lender, number in b.requests_due(True, False, step * 0.26):
                 if lender == 0:
                     b.receive_grant(0, number, step * 0.26)
-    now = (2 * few(count) - 1) * 0.26
+    now = (2 * lessor_count(count) - 1) * 0.26
     assert sum(b.budget_share(now) for b in all_of_them) <= count * (1 + max(1 / count, 0.04))
 
 
@@ -168,33 +175,33 @@
     lender = tier(200)[1]
     lender.requests_due(waits, not waits, 0.0)
     if lent >= 0:
-        lender.lent_to, lender.lent_until = lent, 0.5
+        lender.lessee, lender.granted_until = lent, 0.5
     borrower = (borrower - 1) % 200 if borrower not in (0, 17, 1) else borrower
     if lent == 5:
-        lender.lent_to = (lent - 1) % 200 if borrower != 0 else 199
-    assert lender.receive_request(borrower, 0.1) is (lends and (lender.me - borrower) % 200 <= 8)
+        lender.lessee = (lent - 1) % 200 if borrower != 0 else 199
+    assert lender.receive_request(borrower, 0.1) is (lends and (lender.own_index - borrower) % 200 <= 8)
 
 
 def test_one_that_has_just_started_lends_nothing_and_goes_without_what_may_be_lent() -> None:
     lender = Leases(1, 2, SPAN, Random(1), 10.0)
     lender.requests_due(False, True, 10.0)
-    assert not lender.receive_request(0, 10.5) and lender.budget_share(10.5) == OWN
+    assert not lender.receive_request(0, 10.5) and lender.budget_share(10.5) == RESERVED_SHARE
     assert lender.budget_share(11.1) == 1.0 and lender.receive_request(0, 11.1)
 
 
-WORD = LeaseMessage(messages.ASK, 3, 4, 2**62, 200)
+WORD = LeaseMessage(messages.REQUEST, 3, 4, 2**62, 200)
 
 
 def test_a_word_is_read_whole_or_not_at_all() -> None:
-    data = messages.seal(WORD, KEY)
-    assert messages.unseal(data, KEY) == WORD and len(data) < 64
+    data = messages.encode(WORD, KEY)
+    assert messages.decode(data, KEY) == WORD and len(data) < 64
     for cut in range(len(data)):
         with pytest.raises(RefusedDatagramError):
-            messages.unseal(data[:cut], KEY)
+            messages.decode(data[:cut], KEY)
     for at in range(len(data)):
         for bit in range(8):
             with pytest.raises(RefusedDatagramError):
-                messages.unseal(data[:at] + bytes((data[at] ^ 1 << bit,)) + data[at + 1 :], KEY)
+                messages.decode(data[:at] + bytes((data[at] ^ 1 << bit,)) + data[at + 1 :], KEY)
 
 
 @pytest.mark.parametrize(
@@ -202,7 +209,7 @@
 )
 def test_a_signed_body_that_is_no_word_is_refused(body: bytes) -> None:
     with pytest.raises(RefusedDatagramError):
-        messages.unseal(KEY.seal(body, messages.MAGIC), KEY)
+        messages.decode(KEY.sign_body(body, messages.MAGIC), KEY)
 
 
 def file(tmp_path: Path, text: str) -> operators.RecoverySection:
@@ -253,21 +260,21 @@
 
 def test_the_phases_are_entered_and_left_at_marks_that_lie_apart() -> None:
     standing = RecoveryPhaseTracker(10.0, 0.0)
-    assert standing.look(look(0, heard=2), 0.1) is Phase.FINDING
-    assert standing.look(look(8, waits=False, heard=2), 0.2) is Phase.FINDING
-    assert standing.look(look(8), 0.5) is Phase.FILLING
-    assert standing.look(look(2), 5.0) is Phase.FILLING
-    assert standing.look(look(1), 5.1) is Phase.FILLING
-    assert standing.look(look(1), 5.0 + KEPT * 10.0) is Phase.STEADY
-    assert standing.look(look(2), 9.0) is Phase.STEADY
-    assert standing.look(look(3, waits=False), 9.1) is Phase.STEADY
-    assert standing.look(look(3), 9.2) is Phase.FILLING
+    assert standing.update(look(0, heard=2), 0.1) is Phase.FINDING
+    assert standing.update(look(8, waits=False, heard=2), 0.2) is Phase.FINDING
+    assert standing.update(look(8), 0.5) is Phase.FILLING
+    assert standing.update(look(2), 5.0) is Phase.FILLING
+    assert standing.update(look(1), 5.1) is Phase.FILLING
+    assert standing.update(look(1), 5.0 + MIN_FILLING_TIME * 10.0) is Phase.STEADY
+    assert standing.update(look(2), 9.0) is Phase.STEADY
+    assert standing.update(look(3, waits=False), 9.1) is Phase.STEADY
+    assert standing.update(look(3), 9.2) is Phase.FILLING
 
 
 def test_one_that_hears_of_no_server_does_not_look_for_ever() -> None:
     standing = RecoveryPhaseTracker(10.0, 0.0)
-    assert standing.look(look(0, heard=0), 9.9) is Phase.FINDING
-    assert standing.look(look(0, heard=0), LONGEST * 10.0) is Phase.STEADY
+    assert standing.update(look(0, heard=0), 9.9) is Phase.FINDING
+    assert standing.update(look(0, heard=0), MAX_FINDING_TIME * 10.0) is Phase.STEADY
 
 
 @settings(max_examples=100, deadline=None)
@@ -278,15 +285,18 @@
     entered = []
     for step, (heard, cold, waits) in enumerate(looks):
         was = standing.phase
-        if standing.look(ServerCounts(10, heard, cold, waits), step * 0.1) is not was and was is Phase.STEADY:
+        if (
+            standing.update(ServerCounts(10, heard, cold, waits), step * 0.1) is not was
+            and was is Phase.STEADY
+        ):
             entered.append(step * 0.1)
-    assert len(entered) <= 1 + len(looks) * 0.1 / (KEPT * 10.0)
+    assert len(entered) <= 1 + len(looks) * 0.1 / (MIN_FILLING_TIME * 10.0)
 
 
 def test_who_is_served_first_by_credit_then_by_coming_back() -> None:
     high, low = (Profile("repeatable", "all", 0.0, 0.3, 1.8, credit) for credit in (2.0, 1.0))
     order = [(high, True), (high, False), (low, True), (low, False)]
-    assert sorted(reversed(order), key=lambda who: rank(*who)) == order
+    assert sorted(reversed(order), key=lambda who: queue_priority(*who)) == order
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
