--- a/benchmarks/filling_size.py
+++ b/benchmarks/filling_size.py
@@ -35,11 +35,11 @@
 
 def crowd(count: int, servers: int, seed: int, liar: bool = False) -> World:
     few = max(1, count // 12)
-    world = World(count, servers, few, 15.0 * servers / few, seed, loss=0.33, late=1.5)
+    world = World(count, servers, few, 15.0 * servers / few, seed, loss_rate=0.33, max_delay=1.5)
     if liar:
-        last = world.lending[-1]
-        world.lending[-1] = Liar(last.me, last.count, last.span, last.rng, last.started)
-    world.play(6.0, 3.0)
+        last = world.leases[-1]
+        world.leases[-1] = Liar(last.me, last.count, last.span, last.rng, last.started)
+    world.run(6.0, 3.0)
     return world
 
 
@@ -55,12 +55,12 @@
         few, began = max(1, count // 12), time.monotonic()
         placed = []
         for on in (False, True):
-            world = World(count, servers, few, 5.0 * servers / few, loans=on)
-            world.play(4.0, 99.0)
-            placed.append(world.placed())
+            world = World(count, servers, few, 5.0 * servers / few, leases_enabled=on)
+            world.run(4.0, 99.0)
+            placed.append(world.count_placements())
         seeds = range(1, told.seeds + 1)
-        fullest = max(crowd(count, servers, seed).fullest() for seed in seeds)
-        lied = max(crowd(count, servers, seed, liar=True).fullest() for seed in seeds)
+        fullest = max(crowd(count, servers, seed).max_overload_ratio() for seed in seeds)
+        lied = max(crowd(count, servers, seed, liar=True).max_overload_ratio() for seed in seeds)
         cells = [f"{count} x {servers}", "{}, {}".format(*placed), f"{fullest:.2f}", f"{lied:.2f}"]
         print("| " + " | ".join([*cells, f"{time.monotonic() - began:.0f}"]) + " |", flush=True)
 
--- a/pointgw/net/core/reducer.py
+++ b/pointgw/net/core/reducer.py
@@ -480,5 +480,5 @@
             "suspended": sum(ep.ejected_until > self.now for ep in live),
             "cold": sum(ep.warm_at > self.now for ep in live),
             "c": float(self.balancer.c),
-            "watching": self.balancer.watching,
+            "watching": self.balancer.is_watching_list,
         }
--- a/pointgw/testbed/baseline.py
+++ b/pointgw/testbed/baseline.py
@@ -9,7 +9,7 @@
 import sys
 
 from pointgw.net.run.daemon import daemon
-from pointgw.policy import SETTLE, Balancer, Server, Tunnel
+from pointgw.policy import MIGRATION_REPORT_DELAY, Balancer, Server, Tunnel
 
 POLICIES = ("srlb", "random", "round-robin")
 
@@ -17,19 +17,19 @@
 class PlainRandom(Balancer):
     """Any active server, by chance alone: no reports, no probes, nobody held back."""
 
-    def _candidates(self, tun: Tunnel, now: float) -> list[Server]:
-        return [ep for ep in self.active_servers if self._may_go(tun, ep, now)]
+    def _select_candidates(self, tun: Tunnel, now: float) -> list[Server]:
+        return [ep for ep in self.active_servers if self._is_eligible(tun, ep, now)]
 
-    def _draw(self, tun: Tunnel, ready: list[Server]) -> list[Server]:
+    def _draw_candidates(self, tun: Tunnel, ready: list[Server]) -> list[Server]:
         return [self.choice(ready)]
 
     def _offer(self, tun: Tunnel, now: float) -> None:
-        self._send(tun, tun.candidates[0], now)
+        self._send_setup(tun, tun.candidates[0], now)
 
-    def _probe(self, now: float) -> None:
+    def _probe_servers(self, now: float) -> None:
         pass
 
-    def _shed(self, ep: Server, now: float, settle: float = SETTLE) -> None:
+    def _migrate_excess(self, ep: Server, now: float, settle: float = MIGRATION_REPORT_DELAY) -> None:
         pass
 
 
@@ -38,7 +38,7 @@
 
     turn = 0
 
-    def _draw(self, tun: Tunnel, ready: list[Server]) -> list[Server]:
+    def _draw_candidates(self, tun: Tunnel, ready: list[Server]) -> list[Server]:
         self.turn += 1
         return [ready[self.turn % len(ready)]]
 
--- a/tests/crossing/test_own_faults.py
+++ b/tests/crossing/test_own_faults.py
@@ -56,9 +56,9 @@
 
 def test_a_tick_that_fails_is_followed_by_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
-        monkeypatch.setattr(Balancer, "_round", failing(3, Balancer._round))
-        rounds = node.reducer.balancer.round_at
-        await until(lambda: node.reducer.balancer.round_at > rounds)
+        monkeypatch.setattr(Balancer, "_run_control_pass", failing(3, Balancer._run_control_pass))
+        rounds = node.reducer.balancer.last_pass_at
+        await until(lambda: node.reducer.balancer.last_pass_at > rounds)
         assert violations["event_failed"] == 3
 
     play(scene, World())
--- a/tests/filling_world.py
+++ b/tests/filling_world.py
@@ -14,19 +14,19 @@
 from math import inf
 from random import Random
 
-from helpers import Notes, site
+from helpers import RecordingHost, make_site
 from pointgw.interface import ServerEntry
-from pointgw.policy import COLD_SAFE, Balancer, Server, State, Tunnel
+from pointgw.policy import SLOW_START_SAFETY_FACTOR, Balancer, Server, State, Tunnel
 from pointgw.recovery.leases import Leases
 from virtual_clock import VirtualClock
 
-WARM = 60  # tunnels that a warm server bears
-STEP = 0.05  # seconds
-ANSWER = 0.02  # seconds that a probe, or a setup, takes
+WARM_CAPACITY = 60  # tunnels that a warm server bears
+STEP_SECONDS = 0.05  # seconds
+ANSWER_SECONDS = 0.02  # seconds that a probe, or a setup, takes
 START = 100.0
 
 
-class Host(Notes):
+class Host(RecordingHost):
     """Carries out what one balancer asks."""
 
     def __init__(self, world: World) -> None:
@@ -35,142 +35,156 @@
 
     def setup(self, tun: Tunnel, ep: Server, patience: float) -> None:
         world = self.world
-        world.sent[ep.name].append(world.now)
+        world.placements[ep.name].append(world.now)
         number = len(tun.setups) - 1
-        world.later(ANSWER, partial(world.balancers[self].setup_opened, tun, number))
+        world.later(ANSWER_SECONDS, partial(world.balancers[self].setup_opened, tun, number))
 
     def decline(self, tun: Tunnel, come_back: float) -> None:
         self.world.declined += 1
 
     def probe(self, ep: Server) -> None:
-        self.world.later(ANSWER, partial(self.world.answer, self.world.balancers[self], ep))
+        self.world.later(ANSWER_SECONDS, partial(self.world.answer_probe, self.world.balancers[self], ep))
 
 
 @dataclass
 class World(VirtualClock):
-    count: int
-    servers: int
-    waiting: int  # balancers at which tunnels come from the start
-    rate: float  # tunnels a second at each of those
+    balancer_count: int
+    server_count: int
+    busy_balancers: int  # balancers at which tunnels come from the start
+    arrival_rate: float  # tunnels a second at each of those
     seed: int = 1
-    loans: bool = True
-    loss: float = 0.0
-    late: float = 0.03  # seconds, at most
-    numbered: bool = False  # balancers are told their numbers
+    leases_enabled: bool = True
+    loss_rate: float = 0.0
+    max_delay: float = 0.03  # seconds, at most
+    balancers_indexed: bool = False  # balancers are told their numbers
     balancers: dict[Host, Balancer] = field(default_factory=dict)
-    sent: dict[str, list[float]] = field(default_factory=dict)
+    placements: dict[str, list[float]] = field(default_factory=dict)
     declined: int = 0
     now: float = START
 
     def __post_init__(self) -> None:
         self.rng = Random(self.seed)
         self.start_clock()
-        names = [f"s{i}" for i in range(self.servers)]
-        self.sent = {name: [] for name in names}
-        self.lines = [ServerEntry(name, "active", 0, 0, 0, START, 1.0) for name in names]
-        self.told = told = site(
-            balancer_count=self.count, tunnel_quota=float(WARM * self.servers), list_is_polled=True
+        names = [f"s{i}" for i in range(self.server_count)]
+        self.placements = {name: [] for name in names}
+        self.entries = [ServerEntry(name, "active", 0, 0, 0, START, 1.0) for name in names]
+        self.site = told = make_site(
+            balancer_count=self.balancer_count,
+            tunnel_quota=float(WARM_CAPACITY * self.server_count),
+            list_is_polled=True,
         )
-        for n in range(self.count):
-            self._begin(Host(self), n, 0)
-        self.lending = [
+        for n in range(self.balancer_count):
+            self._start_balancer(Host(self), n, 0)
+        self.leases = [
             Leases(
                 n,
-                self.count,
+                self.balancer_count,
                 told.overload_window,
                 Random(f"{self.seed}/loans/{n}"),
                 START - told.overload_window,
             )
-            for n in range(self.count)
+            for n in range(self.balancer_count)
         ]
 
-    def _begin(self, host: Host, n: int, time: int) -> None:
-        told = replace(self.told, balancer_index=n if self.numbered else -1)
+    def _start_balancer(self, host: Host, n: int, time: int) -> None:
+        told = replace(self.site, balancer_index=n if self.balancers_indexed else -1)
         rng = Random(f"{self.seed}/{n}" + time * "/again")
         self.balancers[host] = bal = Balancer(told, host, rng, self.now)
-        bal.update_servers(self.lines, True, False, self.now)
-        bal.purse = 1e9  # what probes cost is not the matter here
+        bal.update_servers(self.entries, True, False, self.now)
+        bal.probe_credit = 1e9  # what probes cost is not the matter here
 
-    def restart(self, every: int, time: int) -> None:
+    def restart_balancers(self, every: int, time: int) -> None:
         """So many balancers, one after another in their order, forget all that they sent."""
         hosts = list(self.balancers)
-        for n in range(time * every, min((time + 1) * every, self.count)):
-            self._begin(hosts[n], n, time + 1)
+        for n in range(time * every, min((time + 1) * every, self.balancer_count)):
+            self._start_balancer(hosts[n], n, time + 1)
 
-    def answer(self, bal: Balancer, ep: Server, now: float) -> None:
+    def answer_probe(self, bal: Balancer, ep: Server, now: float) -> None:
         age = (now - START) / bal.warm_up_window
         share = min(1.0, bal.slow_start_share + (1 - bal.slow_start_share) * age)
-        bal.probe_ended(ep, "ok", {"load": len(self.sent[ep.name]) / (WARM * share)}, now)
+        bal.probe_ended(ep, "ok", {"load": len(self.placements[ep.name]) / (WARM_CAPACITY * share)}, now)
 
-    def play(self, seconds: float, all_at: float) -> None:
+    def run(self, seconds: float, all_at: float) -> None:
         """`all_at`: seconds from the start at which five tunnels come at each balancer at once."""
         came = False
-        for _ in range(round(seconds / STEP)):
-            until = self.now + STEP
+        for _ in range(round(seconds / STEP_SECONDS)):
+            until = self.now + STEP_SECONDS
             self.run_until(until)
             come = not came and until >= START + all_at
             came |= come
             for n, bal in enumerate(self.balancers.values()):
-                busy = n % (self.count // self.waiting) == 0  # apart, as they would be
-                many = 5 * come + (busy and self.rng.random() < self.rate * STEP)
+                busy = n % (self.balancer_count // self.busy_balancers) == 0  # apart, as they would be
+                many = 5 * come + (busy and self.rng.random() < self.arrival_rate * STEP_SECONDS)
                 for _ in range(many):
                     bal.tunnel_arrived(bal.new_tunnel("t", 0, 0, "k", "", until + 3.0, False), False, until)
                 bal.timer_due(until)
-                if self.loans:
-                    self._lend(n, bal, until)
+                if self.leases_enabled:
+                    self._exchange_leases(n, bal, until)
 
-    def _lend(self, n: int, bal: Balancer, now: float) -> None:
+    def _exchange_leases(self, n: int, bal: Balancer, now: float) -> None:
         waits = any(tun.state is State.QUEUED for tun in bal.queue) or now < bal.no_room_until
-        for lender, number in self.lending[n].requests_due(waits, not waits, now):
-            self._say(partial(self._asked, n, lender, number))
-        self._part(n, bal, now)
+        for lender, number in self.leases[n].requests_due(waits, not waits, now):
+            self._deliver(partial(self._receive_request, n, lender, number))
+        self._apply_budget_share(n, bal, now)
 
-    def _say(self, word: Callable[[float], object]) -> None:
-        if self.rng.random() >= self.loss:
-            self.later(self.rng.uniform(0.0, self.late), word)
+    def _deliver(self, word: Callable[[float], object]) -> None:
+        if self.rng.random() >= self.loss_rate:
+            self.later(self.rng.uniform(0.0, self.max_delay), word)
 
-    def _asked(self, borrower: int, lender: int, number: int, now: float) -> None:
-        if self.lending[lender].receive_request(borrower, now):
-            self._part(lender, list(self.balancers.values())[lender], now)
-            self._say(partial(self.lending[borrower].receive_grant, lender, number))
+    def _receive_request(self, borrower: int, lender: int, number: int, now: float) -> None:
+        if self.leases[lender].receive_request(borrower, now):
+            self._apply_budget_share(lender, list(self.balancers.values())[lender], now)
+            self._deliver(partial(self.leases[borrower].receive_grant, lender, number))
 
-    def _part(self, n: int, bal: Balancer, now: float) -> None:
-        part = self.lending[n].budget_share(now)
+    def _apply_budget_share(self, n: int, bal: Balancer, now: float) -> None:
+        part = self.leases[n].budget_share(now)
         if part != bal.budget_share:
             bal.set_budget_share(part, now)
 
-    def fullest(self) -> float:
+    def max_overload_ratio(self) -> float:
         """The most that a server was sent within a tip span, of what it could take then with two standard
         deviations of chance."""
-        told = site()
+        told = make_site()
         worst = 0.0
-        for times in self.sent.values():
+        for times in self.placements.values():
             for i, at in enumerate(times):
                 begin = at - told.overload_window
                 age = max(0.0, at - told.overload_window / 2 - START) / told.warm_up_window
                 share = told.slow_start_share + (1 - told.slow_start_share) * age
-                limit = told.overload_factor * WARM / told.warm_up_window * share * told.overload_window
+                limit = (
+                    told.overload_factor * WARM_CAPACITY / told.warm_up_window * share * told.overload_window
+                )
                 worst = max(worst, (i + 1 - bisect_left(times, begin)) / (limit + 2.0 * limit**0.5))
         return worst
 
-    def over(self) -> float:
+    def max_overload_excess(self) -> float:
         """The most by which what a server was sent within a tip span is over N + 2 root N + 2."""
-        told, worst = self.told, -inf
-        for times in self.sent.values():
+        told, worst = self.site, -inf
+        for times in self.placements.values():
             for i, at in enumerate(times):
                 age = max(0.0, at - told.overload_window - START)
                 share = told.slow_start_share + (1 - told.slow_start_share) * age / told.warm_up_window
-                may = told.overload_factor * WARM / told.warm_up_window * share * told.overload_window
+                may = (
+                    told.overload_factor * WARM_CAPACITY / told.warm_up_window * share * told.overload_window
+                )
                 worst = max(
                     worst, i + 1 - bisect_left(times, at - told.overload_window) - may - 2 * may**0.5 - 2
                 )
         return worst
 
-    def earned(self) -> float:
+    def total_budget(self) -> float:
         """What all balancers may send until now, with what is kept back for chance."""
-        told, age = self.told, self.now - START
+        told, age = self.site, self.now - START
         share = told.slow_start_share + (1 - told.slow_start_share) * age / 2 / told.warm_up_window
-        return COLD_SAFE * told.overload_factor * WARM / told.warm_up_window * share * age * self.servers
+        return (
+            SLOW_START_SAFETY_FACTOR
+            * told.overload_factor
+            * WARM_CAPACITY
+            / told.warm_up_window
+            * share
+            * age
+            * self.server_count
+        )
 
-    def placed(self) -> int:
-        return sum(map(len, self.sent.values()))
+    def count_placements(self) -> int:
+        return sum(map(len, self.placements.values()))
--- a/tests/gathering_world.py
+++ b/tests/gathering_world.py
@@ -13,21 +13,21 @@
 from functools import partial
 from random import Random
 
-from helpers import Notes, site
+from helpers import RecordingHost, make_site
 from pointgw.interface import ServerEntry
 from pointgw.policy import Balancer, Server, Tunnel
 from virtual_clock import VirtualClock
 
-STEP = 0.1  # seconds between two ticks
-ANSWER = 0.02  # seconds that a probe, or a setup, takes
-AGAIN = 0.4  # seconds after which a client that was sent away comes again, about
-WARM = 40.0  # what a warm server can do, in tunnels
-GROUP = 3.0  # what a group costs there
-COLD_FROM, COLD_TIME, SPAN, MULTIPLE = 0.4, 6.0, 1.0, 4.0
+STEP_SECONDS = 0.1  # seconds between two ticks
+ANSWER_SECONDS = 0.02  # seconds that a probe, or a setup, takes
+RETRY_SECONDS = 0.4  # seconds after which a client that was sent away comes again, about
+WARM_CAPACITY = 40.0  # what a warm server can do, in tunnels
+GROUP_COST = 3.0  # what a group costs there
+SLOW_START_SHARE, WARM_UP_WINDOW, OVERLOAD_WINDOW, OVERLOAD_FACTOR = 0.4, 6.0, 1.0, 4.0
 START = 100.0
 
 
-class Host(Notes):
+class Host(RecordingHost):
     """Carries out what one balancer asks."""
 
     def __init__(self, world: World) -> None:
@@ -35,124 +35,127 @@
         self.world = world
 
     def setup(self, tun: Tunnel, ep: Server, patience: float) -> None:
-        self.world.later(ANSWER, partial(self.world.open, self, tun, ep, len(tun.setups) - 1))
+        self.world.later(ANSWER_SECONDS, partial(self.world.open_tunnel, self, tun, ep, len(tun.setups) - 1))
 
     def decline(self, tun: Tunnel, come_back: float) -> None:
         self.world.declined += 1
-        self.world.comes(tun.group)
+        self.world.schedule_arrival(tun.group)
 
     def migrate(self, tun: Tunnel) -> None:
-        self.world.ends(tun)
-        self.world.comes(tun.group)
+        self.world.end_tunnel(tun)
+        self.world.schedule_arrival(tun.group)
 
     def probe(self, ep: Server) -> None:
-        self.world.later(ANSWER, partial(self.world.tell, self, ep))
+        self.world.later(ANSWER_SECONDS, partial(self.world.answer_probe, self, ep))
 
 
 @dataclass
 class World(VirtualClock):
-    balancers: int
-    servers: int
-    groups: int
-    tunnels: int
+    balancer_count: int
+    server_count: int
+    group_count: int
+    tunnel_count: int
     seed: int = 1
-    tells: str = "load"  # what probes tell: that, or the connections
+    report_field: str = "load"  # what probes tell: that, or the connections
     now: float = START
     declined: int = 0
-    at: dict[Tunnel, str] = field(default_factory=dict)  # where each open tunnel is
-    whose: dict[Tunnel, Host] = field(default_factory=dict)
-    holds: dict[str, Counter[str]] = field(default_factory=dict)  # by server: its groups
-    started: dict[str, float] = field(default_factory=dict)
+    server_of: dict[Tunnel, str] = field(default_factory=dict)  # where each open tunnel is
+    host_of: dict[Tunnel, Host] = field(default_factory=dict)
+    groups_by_server: dict[str, Counter[str]] = field(default_factory=dict)  # by server: its groups
+    started_at: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.rng = Random(self.seed)
         self.start_clock()
-        lines = [self.line(f"s{i}", 0.0) for i in range(self.servers)]
+        lines = [self.add_server(f"s{i}", 0.0) for i in range(self.server_count)]
         told = {
-            "list_is_polled": True, "slow_start_share": COLD_FROM, "warm_up_window": COLD_TIME,
-            "overload_factor": MULTIPLE, "overload_window": SPAN,
-            "balancer_count": self.balancers, "report_fields": (self.tells,),
-            "tunnel_quota": WARM * self.servers if self.tells == "load" else 0.0,
+            "list_is_polled": True, "slow_start_share": SLOW_START_SHARE, "warm_up_window": WARM_UP_WINDOW,
+            "overload_factor": OVERLOAD_FACTOR, "overload_window": OVERLOAD_WINDOW,
+            "balancer_count": self.balancer_count, "report_fields": (self.report_field,),
+            "tunnel_quota": WARM_CAPACITY * self.server_count if self.report_field == "load" else 0.0,
         }  # fmt: skip
-        self.of: dict[Host, Balancer] = {}
-        for n in range(self.balancers):
+        self.balancers: dict[Host, Balancer] = {}
+        for n in range(self.balancer_count):
             host = Host(self)
-            self.of[host] = bal = Balancer(
-                site(**told, balancer_index=n), host, Random(f"{self.seed}/{n}"), START
+            self.balancers[host] = bal = Balancer(
+                make_site(**told, balancer_index=n), host, Random(f"{self.seed}/{n}"), START
             )
             bal.update_servers(lines, True, False, START)
-            bal.purse = 1e9  # what probes cost is not the matter here
+            bal.probe_credit = 1e9  # what probes cost is not the matter here
 
-    def line(self, name: str, started: float) -> ServerEntry:
-        self.holds[name], self.started[name] = Counter(), started
+    def add_server(self, name: str, started: float) -> ServerEntry:
+        self.groups_by_server[name], self.started_at[name] = Counter(), started
         return ServerEntry(name, "active", 0, 0, 0, started, 1.0)
 
-    def comes(self, group: str, wait: float = AGAIN) -> None:
-        self.later(wait * self.rng.uniform(0.5, 1.5), partial(self.arrives, group))
+    def schedule_arrival(self, group: str, wait: float = RETRY_SECONDS) -> None:
+        self.later(wait * self.rng.uniform(0.5, 1.5), partial(self.arrive, group))
 
-    def arrives(self, group: str, now: float) -> None:
-        host = self.rng.choice(list(self.of))
-        bal = self.of[host]
+    def arrive(self, group: str, now: float) -> None:
+        host = self.rng.choice(list(self.balancers))
+        bal = self.balancers[host]
         bal.tunnel_arrived(bal.new_tunnel("t", 0, 0, "k", group, now + 3.0, False), False, now)
 
-    def open(self, host: Host, tun: Tunnel, ep: Server, number: int, now: float) -> None:
-        if ep.name not in self.holds:
-            self.of[host].setup_ended(tun, number, "no-connection", False, {}, now)
+    def open_tunnel(self, host: Host, tun: Tunnel, ep: Server, number: int, now: float) -> None:
+        if ep.name not in self.groups_by_server:
+            self.balancers[host].setup_ended(tun, number, "no-connection", False, {}, now)
             return
-        self.at[tun], self.whose[tun] = ep.name, host
-        self.holds[ep.name][tun.group] += 1
-        self.of[host].setup_opened(tun, number, now)
+        self.server_of[tun], self.host_of[tun] = ep.name, host
+        self.groups_by_server[ep.name][tun.group] += 1
+        self.balancers[host].setup_opened(tun, number, now)
 
-    def ends(self, tun: Tunnel) -> None:
-        name = self.at.pop(tun)
-        self.holds[name][tun.group] -= 1
-        self.holds[name] += Counter()
+    def end_tunnel(self, tun: Tunnel) -> None:
+        name = self.server_of.pop(tun)
+        self.groups_by_server[name][tun.group] -= 1
+        self.groups_by_server[name] += Counter()
 
     def load(self, name: str) -> float:
-        groups = self.holds[name]
-        age = (self.now - self.started[name]) / COLD_TIME
-        share = min(1.0, COLD_FROM + (1.0 - COLD_FROM) * age)
-        return (sum(groups.values()) + GROUP * len(groups)) / (WARM * share)
-
-    def tell(self, host: Host, ep: Server, now: float) -> None:
-        if ep.name in self.holds:
-            figures = {"load": self.load(ep.name), "connections": float(self.holds[ep.name].total())}
-            self.of[host].probe_ended(ep, "ok", {self.tells: figures[self.tells]}, now)
+        groups = self.groups_by_server[name]
+        age = (self.now - self.started_at[name]) / WARM_UP_WINDOW
+        share = min(1.0, SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * age)
+        return (sum(groups.values()) + GROUP_COST * len(groups)) / (WARM_CAPACITY * share)
+
+    def answer_probe(self, host: Host, ep: Server, now: float) -> None:
+        if ep.name in self.groups_by_server:
+            figures = {
+                "load": self.load(ep.name),
+                "connections": float(self.groups_by_server[ep.name].total()),
+            }
+            self.balancers[host].probe_ended(ep, "ok", {self.report_field: figures[self.report_field]}, now)
         else:
-            self.of[host].probe_ended(ep, "no-connection", {}, now)
+            self.balancers[host].probe_ended(ep, "no-connection", {}, now)
 
-    def replace(self, count: int, time: int) -> None:
+    def replace_servers(self, count: int, time: int) -> None:
         """So many servers of the first ones drain: their tunnels come again. As many new ones start."""
         for i in range(time * count, (time + 1) * count):
             old, new = f"s{i}", f"n{i}"
-            lines = [ServerEntry(old, "leaving", 0, 0, 0, 0.0, 1.0), self.line(new, self.now)]
-            for bal in self.of.values():
+            lines = [ServerEntry(old, "leaving", 0, 0, 0, 0.0, 1.0), self.add_server(new, self.now)]
+            for bal in self.balancers.values():
                 bal.update_servers(lines, False, False, self.now)
-            for tun in [tun for tun, name in self.at.items() if name == old]:
-                self.ends(tun)
-                self.of[self.whose[tun]].setup_ended(
+            for tun in [tun for tun, name in self.server_of.items() if name == old]:
+                self.end_tunnel(tun)
+                self.balancers[self.host_of[tun]].setup_ended(
                     tun, len(tun.setups) - 1, "cancelled", True, {}, self.now
                 )
-                self.comes(tun.group, 2 * AGAIN)
-            del self.holds[old]
+                self.schedule_arrival(tun.group, 2 * RETRY_SECONDS)
+            del self.groups_by_server[old]
 
-    def fill(self, seconds: float) -> None:
+    def schedule_arrivals(self, seconds: float) -> None:
         """The tunnels come over these, group by group as they are large: the n-th has 1/n of the first."""
-        groups = [f"g{n}" for n in range(self.groups)]
-        weights = [1.0 / (n + 1) for n in range(self.groups)]
-        for group in self.rng.choices(groups, weights, k=self.tunnels):
-            self.comes(group, seconds)
-
-    def play(self, seconds: float) -> None:
-        for _ in range(round(seconds / STEP)):
-            until = self.now + STEP
+        groups = [f"g{n}" for n in range(self.group_count)]
+        weights = [1.0 / (n + 1) for n in range(self.group_count)]
+        for group in self.rng.choices(groups, weights, k=self.tunnel_count):
+            self.schedule_arrival(group, seconds)
+
+    def run(self, seconds: float) -> None:
+        for _ in range(round(seconds / STEP_SECONDS)):
+            until = self.now + STEP_SECONDS
             self.run_until(until)
-            for bal in self.of.values():
+            for bal in self.balancers.values():
                 bal.timer_due(until)
 
-    def pairs(self) -> int:
+    def count_group_placements(self) -> int:
         """Groups that servers pay for."""
-        return sum(map(len, self.holds.values()))
+        return sum(map(len, self.groups_by_server.values()))
 
-    def fullest(self) -> float:
-        return max(map(self.load, self.holds))
+    def max_load(self) -> float:
+        return max(map(self.load, self.groups_by_server))
--- a/tests/test_filling.py
+++ b/tests/test_filling.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from filling_world import START, STEP, World
-from helpers import Notes, site
+from filling_world import START, STEP_SECONDS, World
+from helpers import RecordingHost, make_site
 from pointgw.interface import ServerEntry
 from pointgw.policy import Balancer, Server
 
@@ -17,7 +17,7 @@
 
 
 def fleet(count: int, seed: int, waiting: int, rate: float) -> World:
-    return World(count, 4, waiting, rate, seed, loans=False, numbered=True)
+    return World(count, 4, waiting, rate, seed, leases_enabled=False, balancers_indexed=True)
 
 
 @pytest.mark.parametrize(
@@ -26,8 +26,8 @@
 def test_all_that_come_at_one_moment_after_a_pause_push_no_cold_server(count: int, seed: int) -> None:
     # Nothing was sent before, so each holds what it may have kept. Then all balancers have tunnels that wait.
     world = fleet(count, seed, 1, 0.0)
-    world.play(4.0, 0.5 + 0.75 * seed)
-    assert world.placed() >= 8 and world.over() <= 0.0
+    world.run(4.0, 0.5 + 0.75 * seed)
+    assert world.count_placements() >= 8 and world.max_overload_excess() <= 0.0
 
 
 @pytest.mark.parametrize(
@@ -46,10 +46,10 @@
                 bal.tunnel_arrived(
                     bal.new_tunnel("t", 0, 0, "k", "", world.now + 3.0, False), False, world.now
                 )
-        world.play(0.4, 1e9)
-        world.restart(count // RESTARTED, time)
-    assert world.over() <= 0.0
-    assert world.placed() >= 0.6 * world.earned()
+        world.run(0.4, 1e9)
+        world.restart_balancers(count // RESTARTED, time)
+    assert world.max_overload_excess() <= 0.0
+    assert world.count_placements() >= 0.6 * world.total_budget()
 
 
 @pytest.mark.parametrize("count", [*COUNTS, LARGE])
@@ -58,19 +58,21 @@
     lines = [ServerEntry("s0", "active", 0, 0, 0, START, 1.0), ServerEntry("s1", "active", 0, 0, 0, 0.0, 1.0)]
     due: list[float] = []
     for n in range(count):
-        began = START + (n * 7 % 10) * STEP  # when it was started, or heard of the server
+        began = START + (n * 7 % 10) * STEP_SECONDS  # when it was started, or heard of the server
         bal = Balancer(
-            site(balancer_count=count, tunnel_quota=120.0, balancer_index=n), Notes(), Random(n), began
+            make_site(balancer_count=count, tunnel_quota=120.0, balancer_index=n),
+            RecordingHost(),
+            Random(n),
+            began,
         )
         bal.update_servers(lines, True, False, began)
-        bal._learn(0.1)
+        bal._update_fleet_estimates(0.1)
         ep: Server = bal.servers["s0"]
-        bal._within_budget(ep, START + 0.5)
-        at, rate = START + 0.5, bal.slow_start_rate * bal._share(ep, START + 1.5)
+        bal._has_slow_start_budget(ep, START + 0.5)
+        at, rate = START + 0.5, bal.slow_start_rate * bal._available_capacity(ep, START + 1.5)
         due.append(at + (1.0 - ep.slow_start_budget) / rate)  # about: its share grows a little meanwhile
     due.sort()
     span = 2.0
-    even = 0.8 * 3.0 * 60 / 20 * bal._share(ep, START + 1.5) * span
+    even = 0.8 * 3.0 * 60 / 20 * bal._available_capacity(ep, START + 1.5) * span
     for begin in (START + 0.5, START + 1.0, START + 1.5):
         assert abs(sum(begin <= at < begin + span for at in due) - even) <= 2.5
-
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -296,14 +296,14 @@
     seed: int, count: int, waiting: int, loss: float, late: float
 ) -> None:
     # A few have the parts of all others out on loan when at each balancer five tunnels come.
-    world = World(count, 4, waiting, 60.0 / waiting, seed, loss=loss, late=late)
-    world.play(6.0, 3.0)
-    assert world.fullest() <= 1.0
-    assert world.placed() > 10
+    world = World(count, 4, waiting, 60.0 / waiting, seed, loss_rate=loss, max_delay=late)
+    world.run(6.0, 3.0)
+    assert world.max_overload_ratio() <= 1.0
+    assert world.count_placements() > 10
 
 
 def test_where_eight_of_two_hundred_wait_loans_open_more_of_their_tunnels() -> None:
-    alone, lent = (World(200, 8, 8, 5.0, loans=on) for on in (False, True))
+    alone, lent = (World(200, 8, 8, 5.0, leases_enabled=on) for on in (False, True))
     for world in (alone, lent):
-        world.play(4.0, 99.0)
-    assert lent.placed() > 3 * alone.placed() > 0
+        world.run(4.0, 99.0)
+    assert lent.count_placements() > 3 * alone.count_placements() > 0
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from helpers import site
+from helpers import make_site
 from pointgw.interface import Profile, ServerEntry
 from pointgw.net.core import effects as fx
 from pointgw.net.core import events as ev
@@ -28,7 +28,7 @@
     read."""
     lines = tuple(ServerEntry(f"s{i}", "active", 0, i, 0, 0.0, 1.0) for i in range(2))
     known = ServerList(7, True, lines, tuple((f"s{i}", "127.0.0.9", 9000 + i) for i in range(2)))
-    settings = site(**({"may_probe": False, "list_is_polled": True} | changes))
+    settings = make_site(**({"may_probe": False, "list_is_polled": True} | changes))
     told = StartUpSettings(
         "n0", ("127.0.0.1", 1), ("127.0.0.1", 2), seed, settings,
         Names(("a",), ("k",)), ("chat",), ("acme",), 0.12, 256, known,
@@ -300,7 +300,7 @@
     lines = tuple(ServerEntry(f"s{i}", "active", 0, i, 0, 0.0, 1.0) for i in range(2))
     known = ServerList(7, True, lines, tuple((f"s{i}", "127.0.0.9", 9000 + i) for i in range(2)))
     told = StartUpSettings(
-        "n0", ("127.0.0.1", 1), ("127.0.0.1", 2), 5, site(may_probe=False, list_is_polled=False),
+        "n0", ("127.0.0.1", 1), ("127.0.0.1", 2), 5, make_site(may_probe=False, list_is_polled=False),
         Names(("a",), ("k",)), ("chat",), ("acme",), 0.12, 256, known, drain_grace=0.4,
     )  # fmt: skip
     red = Reducer(told, 100.0)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -429,7 +429,7 @@
     reducer, made = remembering(tmp_path, away, *sure)
     assert made.restored is not None and made.restored.counts == {"trusted": 2, "refused": 1}
     for ep in reducer.balancer.servers.values():
-        ep.asked_at = now
+        ep.answered_at = now
     assert connects(reducer) == {9000, 9002}
     # Discovery says up again of the same process: rule 3 wins; of a later one: it is used.
     reducer.dispatch(ListReceived(ServerList(5, False, (line("s-1"),), ())), now)
@@ -446,7 +446,7 @@
     servers = reducer.balancer.servers
     assert all(ep.stale for ep in servers.values())
     for ep in servers.values():
-        ep.asked_at = now
+        ep.answered_at = now
     connects(reducer)
     assert all(ep.pending_setups <= 1 for ep in servers.values())
     reducer.balancer.probe_ended(servers["s-0"], "ok", {"load": 0.1}, now)
