--- a/pointgw/__main__.py
+++ b/pointgw/__main__.py
@@ -18,7 +18,7 @@
     if not path:
         print("pointgw: expected GW_CONFIG to name the start-up file (pointgw --help)", file=sys.stderr)
         return 2
-    early_signals.begin()
+    early_signals.install_handler()
     from pointgw.net.run.daemon import daemon
 
     return daemon(path, os.environ.get("GW_OPERATOR"))
--- a/pointgw/early_signals.py
+++ b/pointgw/early_signals.py
@@ -16,12 +16,12 @@
     _noted = True
 
 
-def begin() -> None:
+def install_handler() -> None:
     """From now on one is remembered, until the loop has a handler of its own for it."""
     signal.signal(signal.SIGHUP, _note)
 
 
-def noted() -> bool:
+def pop_sighup() -> bool:
     """Whether one came since; asked for once, when the handler stands."""
     global _noted
     was, _noted = _noted, False
--- a/pointgw/net/core/effects.py
+++ b/pointgw/net/core/effects.py
@@ -17,7 +17,7 @@
     client: int
     setup: int
     address: Address
-    opening: OpenRequest
+    request: OpenRequest
     remaining_time: float | None  # told to the server; None: the line goes on as it came
     timeout: float  # for all of it
     connect_timeout: float
@@ -47,7 +47,7 @@
 
     client: int
     answer: Answer
-    why: str = field(default="", compare=False)
+    reason: str = field(default="", compare=False)
 
 
 @dataclass(frozen=True, slots=True)
--- a/pointgw/net/core/events.py
+++ b/pointgw/net/core/events.py
@@ -14,7 +14,7 @@
     """A client has sent its first line."""
 
     client: int
-    opening: OpenRequest
+    request: OpenRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
 
     client: int
     setup: int
-    closing: EndLine
+    end_line: EndLine
     reset: bool
 
 
--- a/pointgw/net/core/reducer.py
+++ b/pointgw/net/core/reducer.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from pointgw.interface import Ending, Report, ServerEntry
-from pointgw.net.core import effects as fx
+from pointgw.net.core import effects
 from pointgw.net.core.events import (
     ClientArrived,
     ClientLeft,
@@ -44,22 +44,24 @@
 PUSHED_AGAIN = 0.25  # of the grace after a telling: the pause after a failed call, where lists are pushed
 # Seconds after which what a discovery in reach has counts as told, whatever failed before; and after the wait
 # of a call that may wait. In half of the latter a call in reach is answered.
-TOLD_WITHIN, TOLD_AFTER_WAIT = 6.0, 2.0
-REACHED = TOLD_AFTER_WAIT / 2
+LIST_DEADLINE_SECONDS, WATCH_DEADLINE_SECONDS = 6.0, 2.0
+WATCH_RESPONSE_SECONDS = WATCH_DEADLINE_SECONDS / 2
 # Discovery works through calls in turn and says so itself where one waited too long: given up before that,
 # each call only joins the end of the queue.
-ANSWER = TOLD_WITHIN - TOLD_AFTER_WAIT  # for a call that does not wait
+LIST_RESPONSE_SECONDS = LIST_DEADLINE_SECONDS - WATCH_DEADLINE_SECONDS  # for a call that does not wait
 # From when a call goes out which fails: discovery may be in reach right after it, and the next call's answer
 # has to come in time. Where calls fail at once that leaves long pauses, as discovery may be overbooked.
-NEXT_CALL = TOLD_WITHIN - REACHED
-PAUSE_FIRST = NEXT_CALL / 8  # after the first that fails; then doubled each time, by chance cut by up to half
+NEXT_REQUEST_SECONDS = LIST_DEADLINE_SECONDS - WATCH_RESPONSE_SECONDS
+FIRST_RETRY_PAUSE_SECONDS = (
+    NEXT_REQUEST_SECONDS / 8
+)  # after the first that fails; then doubled each time, by chance cut by up to half
 HOLD = 0.5  # of the time after which a balancer that does not ask counts as told: how long a watch waits
 AGAIN = 0.25  # seconds until a tunnel that stood before the run is asked for again
 LEAST = 0.01  # seconds: the shortest such pause
-STANDING = 40.0  # seconds in which such a tunnel must be up
-ARRIVE_ON = 0.5  # seconds after the signal to stop in which new connections still come
+INHERITED_TIMEOUT_SECONDS = 40.0  # seconds in which such a tunnel must be up
+STOP_ACCEPT_SECONDS = 0.5  # seconds after the signal to stop in which new connections still come
 STEP = 0.1  # seconds between two rounds of moves while stopping
-LAST = 0.3  # seconds that the last moves have to arrive
+STOP_SETTLE_SECONDS = 0.3  # seconds that the last moves have to arrive
 SPARE = 0.1  # seconds that are left for the end of the process
 KILL_AFTER, LONGEST = 0.7, 3.0  # it is killed that long after the longest client timeout, at most this
 
@@ -69,7 +71,7 @@
     """One client connection that has asked for a tunnel."""
 
     number: int
-    opening: OpenRequest
+    request: OpenRequest
     tunnel: Tunnel
     arrived_at: float
     previous_server: Server | None = None  # where its tunnel stood before the run, until it is up
@@ -89,12 +91,12 @@
     ) -> None:
         self.membership = membership  # what a memory keeps; None: nothing is kept
         self.on_declined: Callable[[Tunnel], None] | None = None  # the tier counts them
-        self.effects: list[fx.Effect] = []
+        self.effects: list[effects.Effect] = []
         self.later: list[tuple[Tunnel, int, Ending]] = []  # ends that follow from what was asked for
         self.clients: dict[int, Client] = {}
         self.client_of: dict[Tunnel, Client] = {}
-        self.addresses: dict[str, fx.Address] = {}
-        self.index: int | None = start.known_list.index
+        self.addresses: dict[str, effects.Address] = {}
+        self.list_version: int | None = start.known_list.version
         self.discovery = start.discovery
         self.called: set[str] = set()  # the names of those in `clients`
         self.asking = False
@@ -106,8 +108,8 @@
         self.profiles = {name: i for i, name in enumerate(start.profiles)}
         self.tenants = {name: i for i, name in enumerate(start.tenants)}
         self.connect_timeout = start.connect_timeout
-        self.hold = HOLD * start.site.list_poll_interval
-        self.pause = PAUSE_FIRST  # after the next call that fails
+        self.watch_wait = HOLD * start.site.list_poll_interval
+        self.retry_pause = FIRST_RETRY_PAUSE_SECONDS  # after the next call that fails
         self.waits, self.calls_at = False, now  # whether the last call may wait; when it went out
         # Rule 3: what a list that is pushed has to tell counts at once, so it is asked for without a pause.
         self.list_is_pushed = not start.site.list_is_polled
@@ -123,10 +125,10 @@
         if recalled is None:
             self._list(start.known_list, True, now)
         else:
-            self.index = None  # the whole list is asked for: who else counts its versions is not known
+            self.list_version = None  # the whole list is asked for: who else counts its versions is not known
             self._list(ServerList(0, True, recalled.lines, recalled.addresses), True, now)
 
-    def dispatch(self, event: Event, now: float) -> list[fx.Effect]:
+    def dispatch(self, event: Event, now: float) -> list[effects.Effect]:
         """The one entry: changes the state and gives the effects, in order."""
         self.now = now
         match event:
@@ -160,20 +162,20 @@
             case TimerDue():
                 self._tick()
             case StopRequested():
-                self._stopping()
+                self._stop_requested()
         while self.later:
             tun, number, ending = self.later.pop(0)
             self._over(tun, number, ending, True, {})
-        return self.take_effects()
+        return self.pop_effects()
 
-    def take_effects(self) -> list[fx.Effect]:
-        effects, self.effects = self.effects, []
-        return effects
+    def pop_effects(self) -> list[effects.Effect]:
+        requested, self.effects = self.effects, []
+        return requested
 
     # Clients.
 
     def _arrived(self, event: ClientArrived) -> None:
-        opening, now = event.opening, self.now
+        opening, now = event.request, self.now
         profile = self.profiles.get(opening.profile)
         if not check_invariant(event.client not in self.clients, "a client arrives once"):
             return
@@ -185,10 +187,10 @@
             or (opening.current_server and opening.current_server not in self.balancer.servers)
         ):
             why = "unknown_class" if profile is None else "id_in_use" if taken else "unknown_server"
-            self.effects.append(fx.Reply(event.client, Failure(), why))
+            self.effects.append(effects.Reply(event.client, Failure(), why))
             return
-        if now >= self.stop_requested_at + ARRIVE_ON or self.exiting:
-            self.effects.append(fx.Reply(event.client, Decline(0.0), "stopping"))
+        if now >= self.stop_requested_at + STOP_ACCEPT_SECONDS or self.exiting:
+            self.effects.append(effects.Reply(event.client, Decline(0.0), "stopping"))
             return
         patience = opening.remaining_time
         timeout = self.balancer.profiles[profile].client_timeout
@@ -212,7 +214,16 @@
         assert client.previous_server is not None
         address = self.addresses[client.previous_server.name]
         self.effects.append(
-            fx.Connect(client.number, 0, address, client.opening, None, STANDING, STANDING, after)
+            effects.Connect(
+                client.number,
+                0,
+                address,
+                client.request,
+                None,
+                INHERITED_TIMEOUT_SECONDS,
+                INHERITED_TIMEOUT_SECONDS,
+                after,
+            )
         )
 
     def _left(self, event: ClientLeft) -> None:
@@ -225,11 +236,11 @@
         was_open = tun.state is State.OPEN
         self.balancer.client_left(tun, self.now)
         if client.previous_server is not None:
-            self.effects.append(fx.AbandonSetup(client.number, 0, event.reset))
+            self.effects.append(effects.AbandonSetup(client.number, 0, event.reset))
             client.previous_server = None
         elif was_open:
             number = len(tun.setups) - 1
-            self.effects.append(fx.AbandonSetup(client.number, number, event.reset))
+            self.effects.append(effects.AbandonSetup(client.number, number, event.reset))
             self.later.append((tun, number, "cancelled"))
         self._forget_done(client)
 
@@ -239,7 +250,7 @@
             self.clients.pop(client.number, None)
             self.client_of.pop(client.tunnel, None)
             self.guard.forget(client.number)
-            self.called.discard(client.opening.name)
+            self.called.discard(client.request.name)
 
     # Setups.
 
@@ -251,19 +262,19 @@
             server = tun.setups[number].server.name
             may_write = self.balancer.may_write_request(tun, number, self.now)
             if not may_write or not self.guard.may_send(event.client, number, server, self.now):
-                self.effects.append(fx.AbandonSetup(event.client, number))
+                self.effects.append(effects.AbandonSetup(event.client, number))
                 if tun.setups[number].in_progress:
                     self._over(tun, number, "moot", False, {})
                 return
         elif client is None:
-            self.effects.append(fx.AbandonSetup(event.client, event.setup))
+            self.effects.append(effects.AbandonSetup(event.client, event.setup))
             return
-        self.effects.append(fx.WriteRequest(event.client, event.setup))
+        self.effects.append(effects.WriteRequest(event.client, event.setup))
 
     def _opened(self, event: SetupOpened) -> None:
         client = self.clients.get(event.client)
         if client is None:
-            self.effects.append(fx.AbandonSetup(event.client, event.setup))
+            self.effects.append(effects.AbandonSetup(event.client, event.setup))
             return
         tun = client.tunnel
         if client.previous_server is not None:
@@ -274,18 +285,18 @@
         if tun.state is State.OPEN and event.setup == len(tun.setups) - 1:
             client.answered = True
             self.guard.answered(client.number)
-            self.effects.append(fx.RelayTunnel(client.number, event.setup))
+            self.effects.append(effects.RelayTunnel(client.number, event.setup))
         else:  # given up meanwhile
-            self.effects.append(fx.AbandonSetup(client.number, event.setup))
+            self.effects.append(effects.AbandonSetup(client.number, event.setup))
             self.later.append((tun, event.setup, "cancelled"))
 
     def _ended(self, event: SetupEnded) -> None:
         client = self.clients.get(event.client)
         if client is None:
             return
-        tun, ending = client.tunnel, event.closing.ending
+        tun, ending = client.tunnel, event.end_line.ending
         if client.previous_server is not None:
-            if self.now - client.arrived_at < STANDING:
+            if self.now - client.arrived_at < INHERITED_TIMEOUT_SECONDS:
                 self._stand(client, AGAIN)
             else:
                 client.previous_server = None
@@ -294,8 +305,8 @@
             return
         was_open = tun.state is State.OPEN
         if was_open:
-            self.effects.append(fx.CloseClient(client.number, event.reset))
-        self._over(tun, event.setup, ending, was_open, event.closing.report)
+            self.effects.append(effects.CloseClient(client.number, event.reset))
+        self._over(tun, event.setup, ending, was_open, event.end_line.report)
 
     def _over(self, tun: Tunnel, number: int, ending: Ending, closed: bool, report: Report) -> None:
         client = self.client_of.get(tun)
@@ -321,8 +332,12 @@
     # The list and the clock.
 
     def _told(self, event: ListReceived) -> None:
-        self.asking, self.index, self.pause = False, event.server_list.index, PAUSE_FIRST
-        self._ask(self.hold)  # first, so that the watch goes on whatever the list holds
+        self.asking, self.list_version, self.retry_pause = (
+            False,
+            event.server_list.version,
+            FIRST_RETRY_PAUSE_SECONDS,
+        )
+        self._ask(self.watch_wait)  # first, so that the watch goes on whatever the list holds
         self._list(event.server_list, False, self.now if event.wall_clock is None else event.wall_clock)
 
     def _list_failed(self, event: ListRequestFailed) -> None:
@@ -335,16 +350,18 @@
         else:
             self.balancer.list_request_failed(self.now)
             began = self.now if self.waits else self.calls_at  # a watch had told all until it broke
-            left = max(0.0, began + NEXT_CALL - self.now)
-            self._ask(0.0, min(self.pause, left) * self.uniform(0.5, 1.0))
-            self.pause = min(2 * self.pause, NEXT_CALL)
+            left = max(0.0, began + NEXT_REQUEST_SECONDS - self.now)
+            self._ask(0.0, min(self.retry_pause, left) * self.uniform(0.5, 1.0))
+            self.retry_pause = min(2 * self.retry_pause, NEXT_REQUEST_SECONDS)
 
     def _reloaded(self, event: SettingsReloaded) -> None:
         """Another discovery may count its versions anew, so the whole list is asked for."""
         if event.discovery != self.discovery:
-            self.discovery, self.index, self.asking = event.discovery, None, False
-            self.pause = PAUSE_FIRST  # that the one before was out of reach says nothing of this one
-            self.effects.append(fx.SwitchDiscovery(event.discovery, event.names))
+            self.discovery, self.list_version, self.asking = event.discovery, None, False
+            self.retry_pause = (
+                FIRST_RETRY_PAUSE_SECONDS  # that the one before was out of reach says nothing of this one
+            )
+            self.effects.append(effects.SwitchDiscovery(event.discovery, event.names))
             self._ask(0.0)
 
     def _list(self, listing: ServerList, cached: bool, wall: float) -> None:
@@ -359,35 +376,35 @@
         self.guard.listed(lines, listing.is_full)
         self.balancer.update_servers(lines, listing.is_full, cached, self.now)
         if before is not self.balancer.active_servers:
-            self.effects.extend(fx.ForgetServer(server.name) for server in before if not server.active)
+            self.effects.extend(effects.ForgetServer(server.name) for server in before if not server.active)
 
     def _ask(self, hold: float, after: float = 0.0) -> None:
         if not self.asking:
             self.asking, self.waits, self.calls_at = True, hold > 0.0, self.now + after
-            self.effects.append(fx.RequestList(self.index, hold, after))
+            self.effects.append(effects.RequestList(self.list_version, hold, after))
 
     def _tick(self) -> None:
         if self.now < self.wake_at:
             if self.wake_at < inf:
-                self.effects.append(fx.SetTimer(self.wake_at - self.now))
+                self.effects.append(effects.SetTimer(self.wake_at - self.now))
             return
         self.wake_at = inf
         self.balancer.timer_due(self.now)
 
-    def _stopping(self) -> None:
+    def _stop_requested(self) -> None:
         """Moves all tunnels off, once no new connections come, evenly over the time that is left; then
         answers the rest. However late it is called, the last round is not left out. Guards the servers, and
         what all of them ask at a setup, against a part of the fleet that stops at one moment, each with few
         tunnels: these moved in the first rounds. It hurts nobody but by an end that comes later."""
         self.stop_requested_at = min(self.stop_requested_at, self.now)
         left = self.stop_requested_at + self.stop_time_limit - self.now
-        rounds = max(1, int((left - LAST) / STEP))
+        rounds = max(1, int((left - STOP_SETTLE_SECONDS) / STEP))
         if self.exiting:
             return
-        if self.now < self.stop_requested_at + ARRIVE_ON and rounds > 1:
-            self.effects.append(fx.ScheduleStop(STEP))
+        if self.now < self.stop_requested_at + STOP_ACCEPT_SECONDS and rounds > 1:
+            self.effects.append(effects.ScheduleStop(STEP))
             return
-        self.effects.append(fx.CloseIdleClients())
+        self.effects.append(effects.CloseIdleClients())
         standing = [c for c in self.clients.values() if c.tunnel.state is State.OPEN]
         for client in standing[: self._by_chance(len(standing) / rounds)]:
             self.balancer.client_left(client.tunnel, self.now)
@@ -396,12 +413,14 @@
         if rounds == 1:
             for client in [c for c in self.clients.values() if c.tunnel.state is not State.OPEN]:
                 self._turn_away(client)
-        quiet = self.now >= max(self.stop_requested_at + ARRIVE_ON, self.moved_at) + LAST
+        quiet = (
+            self.now >= max(self.stop_requested_at + STOP_ACCEPT_SECONDS, self.moved_at) + STOP_SETTLE_SECONDS
+        )
         if rounds == 1 or (quiet and all(c.tunnel.state is State.ENDED for c in self.clients.values())):
             self.exiting = True
-            self.effects.append(fx.ExitProcess(max(left, 0.0)))
+            self.effects.append(effects.ExitProcess(max(left, 0.0)))
         else:
-            self.effects.append(fx.ScheduleStop(STEP))
+            self.effects.append(effects.ScheduleStop(STEP))
 
     def _by_chance(self, mean: float) -> int:
         """The whole number under `mean`, or the one over it, so that it is that on the mean."""
@@ -412,7 +431,7 @@
         harmless = self.balancer.may_decline(client.tunnel)
         if client.previous_server is not None:
             client.previous_server = None
-            self.effects.append(fx.AbandonSetup(client.number, 0))
+            self.effects.append(effects.AbandonSetup(client.number, 0))
         self.balancer.client_left(client.tunnel, self.now)
         if not client.answered:
             self._answer(client, Decline(0.0) if harmless else Failure(), "stopping")
@@ -424,11 +443,11 @@
         tun.setups[number].may_have_run = False  # until it is written: `may_write_request`
         within = min(self.connect_timeout, patience)
         self.effects.append(
-            fx.Connect(client.number, number, address, client.opening, patience, patience, within)
+            effects.Connect(client.number, number, address, client.request, patience, patience, within)
         )
 
     def cancel(self, tun: Tunnel, number: int) -> None:
-        self.effects.append(fx.AbandonSetup(self.client_of[tun].number, number))
+        self.effects.append(effects.AbandonSetup(self.client_of[tun].number, number))
         self.later.append((tun, number, "cancelled" if tun.setups[number].may_have_run else "moot"))
 
     def decline(self, tun: Tunnel, come_back: float) -> None:
@@ -445,17 +464,17 @@
             if isinstance(answer, Decline) and not self.guard.may_refuse(client.number):
                 answer = Failure()
             self.guard.answered(client.number)
-            self.effects.append(fx.Reply(client.number, answer, why))
+            self.effects.append(effects.Reply(client.number, answer, why))
             self._forget_done(client)
 
     def migrate(self, tun: Tunnel) -> None:
         number = len(tun.setups) - 1
-        self.effects.append(fx.MigrateClient(self.client_of[tun].number, number))
+        self.effects.append(effects.MigrateClient(self.client_of[tun].number, number))
         self.later.append((tun, number, "cancelled"))
 
     def probe(self, ep: Server) -> None:
         address = self.addresses[ep.name]
-        self.effects.append(fx.Probe(ep.name, address, self.probe_timeout, self.connect_timeout))
+        self.effects.append(effects.Probe(ep.name, address, self.probe_timeout, self.connect_timeout))
 
     def watch_list(self) -> None:
         self._ask(0.0)
@@ -463,7 +482,7 @@
     def set_timer(self, delay: float) -> None:
         if self.now + delay < self.wake_at:
             self.wake_at = self.now + delay
-            self.effects.append(fx.SetTimer(delay))
+            self.effects.append(effects.SetTimer(delay))
 
     # For the log.
 
--- a/pointgw/net/core/route.py
+++ b/pointgw/net/core/route.py
@@ -13,11 +13,11 @@
 Address = tuple[str, int]
 
 # A lack of this machine's own.
-LACKING = frozenset(
+LOCAL_FAULT_ERRNOS = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN)
 )
 # The way there: this machine's to all, or the server's.
-UNROUTED = frozenset((errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM))
+ROUTE_ERRNOS = frozenset((errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM))
 REMEMBERED = 30.0  # seconds for which a failure counts as the one before
 
 
@@ -28,17 +28,17 @@
         self.failed_at: dict[Address, float] = {}  # by server: the last failure for want of a route
         self.reached: list[tuple[Address, float]] = []  # the two servers reached last, the latest first
 
-    def connected(self, address: Address, now: float) -> None:
+    def record_connected(self, address: Address, now: float) -> None:
         """A connection came up."""
         others = [(other, at) for other, at in self.reached if other != address]
         self.reached = [(address, now), *others[:1]]
         self.failed_at.pop(address, None)
 
-    def ending(self, fault: OSError, address: Address, now: float) -> Ending:
+    def failure_ending(self, fault: OSError, address: Address, now: float) -> Ending:
         """How an attempt ends whose connection failed: "moot" says nothing of the server."""
-        if fault.errno in LACKING:
+        if fault.errno in LOCAL_FAULT_ERRNOS:
             return "moot"
-        if fault.errno not in UNROUTED:
+        if fault.errno not in ROUTE_ERRNOS:
             return "no-connection"
         before = self.failed_at.get(address)
         self.failed_at[address] = now
--- a/pointgw/net/core/start_times.py
+++ b/pointgw/net/core/start_times.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterable, Iterator
 
 from pointgw.interface import ServerEntry
-from pointgw.net.wire.server_list import UNUSABLE
+from pointgw.net.wire.server_list import INVALID_START
 
 LONG_AGO = 0.0  # told for a server that is not starting
 
-SAME = 0.5  # seconds that the two clocks may drift apart without a step
+CLOCK_TOLERANCE_SECONDS = 0.5  # seconds that the two clocks may drift apart without a step
 
 
 class StartTimes:
@@ -51,9 +51,9 @@
         time may be from before or after it. The latest start that is possible counts: it bears least."""
         if told == LONG_AGO:
             return LONG_AGO
-        if told == UNUSABLE:
+        if told == INVALID_START:
             return now
-        stepped = abs(wall - now) > SAME
+        stepped = abs(wall - now) > CLOCK_TOLERANCE_SECONDS
         ages = [age for age in (now - told, wall - told) if age >= 0.0] if stepped else [now - told]
         age = min(ages, default=0.0)
         longest = now - since + self.warm_up if since is not None and restarted else None
--- a/pointgw/net/run/balancer_process.py
+++ b/pointgw/net/run/balancer_process.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from pointgw import early_signals
-from pointgw.net.core import effects as fx
+from pointgw.net.core import effects
 from pointgw.net.core.events import (
     ClientArrived,
     ClientLeft,
@@ -29,7 +29,7 @@
     StopRequested,
     TimerDue,
 )
-from pointgw.net.core.reducer import STANDING, Reducer
+from pointgw.net.core.reducer import INHERITED_TIMEOUT_SECONDS, Reducer
 from pointgw.net.core.route import RouteEvidence
 from pointgw.net.invariant import violations
 from pointgw.net.run import tcp
@@ -133,7 +133,7 @@
     def answer_due(self, opening: OpenRequest) -> float:
         """When its answer is due. One that stood before the run has longer."""
         if opening.current_server:
-            return self.now() + STANDING
+            return self.now() + INHERITED_TIMEOUT_SECONDS
         longest = self.reducer.max_client_timeout
         return self.now() + (
             longest if opening.remaining_time is None else min(opening.remaining_time, longest)
@@ -168,8 +168,8 @@
         for name in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(name, self.stop)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
-        self._carry_out(self.reducer.take_effects())
-        if early_signals.noted():  # it came after the file was read, or may have
+        self._carry_out(self.reducer.pop_effects())
+        if early_signals.pop_sighup():  # it came after the file was read, or may have
             self.reload()
         if self.reducer.list_is_pushed:  # rule 3: what the agent has counts as told from the first moment
             await self.heard
@@ -288,10 +288,10 @@
 
     def _reduce(self, event: Event) -> None:
         try:
-            effects = self.reducer.dispatch(event, self.now())
+            requested = self.reducer.dispatch(event, self.now())
         except Exception:
             count_fault("event_failed", type(event).__name__)
-            effects = self.reducer.take_effects()
+            requested = self.reducer.pop_effects()
             if isinstance(event, StopRequested):  # guards the stop, which no other event brings on
                 self.loop.call_later(AGAIN, self.feed, StopRequested())
             # Guards rule 1: whatever went wrong, the client gets an answer, and what was begun for it ends.
@@ -299,86 +299,87 @@
                 isinstance(event, ClientArrived | SetupConnected | SetupOpened | SetupEnded)
                 and event.client in self.clients
             ):
-                self._carry_out(effects)
+                self._carry_out(requested)
                 self.clients[event.client].fail()
-                effects = []
+                requested = []
                 self.queue.append(ClientLeft(event.client, False))
                 for side in [side for (client, _), side in self.servers.items() if client == event.client]:
                     self.loop.call_soon(side.give_up)
         if isinstance(event, ListReceived | ListRequestFailed) and not self.heard.done():
             self.heard.set_result(None)
         if _trace.isEnabledFor(logging.DEBUG):
-            _trace.debug("step", extra={"fields": {"took": event, "asks": effects}})
-        self._carry_out(effects)
+            _trace.debug("step", extra={"fields": {"took": event, "asks": requested}})
+        self._carry_out(requested)
 
-    def _carry_out(self, effects: list[fx.Effect]) -> None:
-        for effect in effects:
+    def _carry_out(self, requested: list[effects.Effect]) -> None:
+        for effect in requested:
             try:
                 self._do(effect)
             except Exception:
                 count_fault("effect_failed", type(effect).__name__)
-                if isinstance(effect, fx.Connect):  # guards rule 1: nothing else would end this attempt
+                if isinstance(effect, effects.Connect):  # guards rule 1: nothing else would end this attempt
                     self.servers.pop((effect.client, effect.setup), None)
                     self.queue.append(SetupEnded(effect.client, effect.setup, EndLine("moot", {}), False))
 
     def _server(
-        self, effect: fx.WriteRequest | fx.AbandonSetup | fx.RelayTunnel | fx.MigrateClient
+        self,
+        effect: effects.WriteRequest | effects.AbandonSetup | effects.RelayTunnel | effects.MigrateClient,
     ) -> ServerSide | None:
         return self.servers.get((effect.client, effect.setup))
 
-    def _do(self, effect: fx.Effect) -> None:
+    def _do(self, effect: effects.Effect) -> None:
         match effect:
-            case fx.Connect():
+            case effects.Connect():
                 side = self.clients.get(effect.client)
                 if side is not None and not side.found_gone():
                     at = f"{effect.address[0]}:{effect.address[1]}"
                     self.requests.step("attempt", side.request, attempt=effect.setup, server=at)
                     self.servers[effect.client, effect.setup] = ServerSide(self, effect, side)
-            case fx.WriteRequest():
+            case effects.WriteRequest():
                 if (server := self._server(effect)) is not None:
                     self.requests.step("sent", self.request_id(effect.client), attempt=effect.setup)
                     server.write()
-            case fx.AbandonSetup():
+            case effects.AbandonSetup():
                 if (server := self._server(effect)) is not None:
                     server.drop(effect.reset)
-            case fx.RelayTunnel():
+            case effects.RelayTunnel():
                 if (server := self._server(effect)) is not None:
                     self.requests.step("served", self.request_id(effect.client), attempt=effect.setup)
                     server.join()
-            case fx.Reply():
+            case effects.Reply():
                 if effect.client in self.clients:
                     how = "refused" if isinstance(effect.answer, Decline) else "failed"
-                    self.requests.step(how, self.request_id(effect.client), effect.why or "-")
+                    self.requests.step(how, self.request_id(effect.client), effect.reason or "-")
                     self.clients[effect.client].answer(effect.answer)
-            case fx.CloseClient():
+            case effects.CloseClient():
                 if effect.client in self.clients:
                     how = "server_reset" if effect.reset else "server_ended"
                     self.requests.step("closed", self.request_id(effect.client), how)
                     self.clients[effect.client].end(effect.reset)
-            case fx.MigrateClient():
+            case effects.MigrateClient():
                 if effect.client in self.clients:
                     self.requests.step("closed", self.request_id(effect.client), "moved")
                     self.clients[effect.client].move()
                 if (server := self._server(effect)) is not None:
                     server.drop(False)
-            case fx.Probe():
+            case effects.Probe():
                 self.probes.ask(effect)
-            case fx.ForgetServer():
+            case effects.ForgetServer():
                 self.probes.forget(effect.server)
-            case fx.SwitchDiscovery():
+            case effects.SwitchDiscovery():
                 self.discovery.over(keep=False)
                 self.discovery = DiscoverySide(self, effect.address, effect.names)
-            case fx.RequestList():
+            case effects.RequestList():
                 self.discovery.ask(effect)
-            case fx.SetTimer():
+            case effects.SetTimer():
                 if self.timer is not None:  # an earlier one takes its place
                     self.timer.cancel()
                 self.timer = self.loop.call_later(max(effect.delay, LEAST), self.feed, TimerDue())
-            case fx.ScheduleStop():
+            case effects.ScheduleStop():
                 self.loop.call_later(effect.delay, self.feed, StopRequested())
-            case fx.CloseIdleClients():
+            case effects.CloseIdleClients():
                 self.connections.end_idle(self.now())
-            case fx.ExitProcess():
+            case effects.ExitProcess():
                 self._begin_leaving(self.now() + effect.time_limit)
 
     def _begin_leaving(self, until: float) -> None:
--- a/pointgw/net/run/client.py
+++ b/pointgw/net/run/client.py
@@ -48,14 +48,14 @@
         try:
             if self.life.state is ConnectionState.ASKED:
                 raise Malformed("expected nothing before the answer")
-            line = lines.cut(self.buffer)
+            line = lines.pop_line(self.buffer)
             if line is None:
                 return
-            message = lines.client_line(line)
+            message = lines.parse_client_line(line)
             if self.buffer:
                 raise Malformed("expected one line, then nothing before the answer")
             if isinstance(message, lines.Ping):
-                self.transport.write((lines.ERR if self.node.stopping else lines.PONG) + lines.END)
+                self.transport.write((lines.ERR if self.node.stopping else lines.PONG) + lines.LINE_END)
             else:
                 self.life.transition_to(ConnectionState.ASKED)
                 self.request, self.due = message.name, self.node.answer_due(message)
@@ -75,7 +75,7 @@
     def answer(self, answer: lines.Answer) -> None:
         """The final answer to a client that was not opened."""
         if self.life.state in (ConnectionState.IDLE, ConnectionState.ASKED):
-            self._last(lines.answer_line(answer))
+            self._last(lines.encode_answer(answer))
 
     def join(self, server: ServerSide, first: bytes) -> bool:
         """The server's answer, and from now on its lines; False: the client has left or was answered."""
@@ -94,7 +94,7 @@
     def move(self) -> None:
         """Only whole lines were written, so this stands between two."""
         if self.life.state is ConnectionState.JOINED:
-            self._last(lines.MOVE + lines.END)
+            self._last(lines.MOVE + lines.LINE_END)
 
     def _last(self, line: bytes) -> None:
         self.transport.write(line)
@@ -123,7 +123,7 @@
         """Its descriptor is needed for clients that do speak."""
         if not self.life.over:
             self.life.transition_to(ConnectionState.ENDED)
-            tcp.close(self.transport, lines.answer_line(lines.Decline(0.0)))
+            tcp.close(self.transport, lines.encode_answer(lines.Decline(0.0)))
 
     def pause_writing(self) -> None:
         if self.server is not None:
--- a/pointgw/net/run/daemon.py
+++ b/pointgw/net/run/daemon.py
@@ -24,7 +24,7 @@
     def read() -> StartUpSettings:
         return parse_start_up_file(Path(config).read_bytes())
 
-    early_signals.begin()
+    early_signals.install_handler()
     try:
         told = read()
     except (OSError, Malformed) as fault:
--- a/pointgw/net/run/discovery.py
+++ b/pointgw/net/run/discovery.py
@@ -9,7 +9,7 @@
 
 from pointgw.net.core.effects import RequestList
 from pointgw.net.core.events import ListReceived, ListRequestFailed
-from pointgw.net.core.reducer import ANSWER, REACHED
+from pointgw.net.core.reducer import LIST_RESPONSE_SECONDS, WATCH_RESPONSE_SECONDS
 from pointgw.net.run.link import Link
 from pointgw.net.wire import server_list
 from pointgw.site import Malformed
@@ -42,7 +42,7 @@
             self._go(asked)
 
     def _go(self, asked: RequestList) -> None:
-        within = asked.wait + REACHED if asked.wait else ANSWER
+        within = asked.wait + WATCH_RESPONSE_SECONDS if asked.wait else LIST_RESPONSE_SECONDS
         self.timer = self.node.loop.call_later(within, self.failed, "no answer", asked.wait > 0)
         if self.link is not None:
             self.up()
@@ -61,7 +61,7 @@
     def up(self) -> None:
         assert self.asked is not None and self.link is not None
         host = f"{self.address[0]}:{self.address[1]}"
-        self.link.send(server_list.list_request(host, self.asked.version, self.asked.wait))
+        self.link.send(server_list.encode_list_request(host, self.asked.version, self.asked.wait))
 
     def heard(self, data: bytes) -> None:
         try:
@@ -69,11 +69,11 @@
         except Malformed as fault:
             self.failed(str(fault))
             return
-        if self.response.take_done():
+        if self.response.pop_complete():
             self._answered(self.response)
 
     def lost(self) -> None:
-        if self.asked is not None and self.response.ended():
+        if self.asked is not None and self.response.stream_ended():
             self._answered(self.response)
         else:
             self.failed("connection ended")
@@ -86,14 +86,14 @@
             self.failed(f"status {response.status}")
             return
         try:
-            told = server_list.parse_server_list_body(bytes(response.data), self.names)
+            told = server_list.parse_server_list_body(bytes(response.body), self.names)
         except Malformed as fault:
             self.failed(str(fault))
             return
         self.failing = False
-        if told.unusable:
-            self.node.refused("list entry", f"{told.unusable} that can't be used")
-        self.over(keep=response.keeps_alive)
+        if told.invalid_entries:
+            self.node.refused("list entry", f"{told.invalid_entries} that can't be used")
+        self.over(keep=response.keep_alive)
         self.node.feed(ListReceived(told, time.time()))
 
     def failed(self, why: str, silent: bool = False) -> None:
--- a/pointgw/net/run/probe.py
+++ b/pointgw/net/run/probe.py
@@ -51,23 +51,23 @@
     async def _connect(self, probe: Probe, link: Link) -> None:
         try:
             await self.node.loop.create_connection(lambda: link, *probe.address)
-            self.node.route.connected(probe.address, self.node.now())
+            self.node.route.record_connected(probe.address, self.node.now())
         except OSError as fault:
             self._undialled(probe, link, fault)
 
     def _undialled(self, probe: Probe, link: Link, fault: OSError) -> None:
         """A connection that had come up by then is judged by what comes on it."""
         if link is self.link and link.transport is None:
-            self._end(self.node.route.ending(fault, probe.address, self.node.now()), {})
+            self._end(self.node.route.failure_ending(fault, probe.address, self.node.now()), {})
 
     def up(self) -> None:
         if self.link is not None and self.asked is not None:
-            self.link.send(lines.STATS + lines.END)
+            self.link.send(lines.STATS + lines.LINE_END)
 
     def heard(self, data: bytes) -> None:
         self.buffer += data
         try:
-            line = lines.cut(self.buffer)
+            line = lines.pop_line(self.buffer)
         except Malformed:
             line = lines.ERR
         if line is None:
@@ -76,7 +76,7 @@
             self.close()  # nobody asked for it
             self.pool.idle(self)
             return
-        answer = lines.probe_line(line)
+        answer = lines.parse_probe_line(line)
         if answer.has_invalid_report:
             self.node.refused("bad report", line[:80])
         if self.buffer:  # guards against what comes late being read as the next probe's answer
--- a/pointgw/net/run/server.py
+++ b/pointgw/net/run/server.py
@@ -48,11 +48,11 @@
             await self.node.loop.create_connection(lambda: self, *self.asked.address)
         except OSError as fault:
             if self.life.state is ConnectionState.DIALLING:
-                self._end(self.node.route.ending(fault, self.asked.address, self.node.now()))
+                self._end(self.node.route.failure_ending(fault, self.asked.address, self.node.now()))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.node.route.connected(self.asked.address, self.node.now())
+        self.node.route.record_connected(self.asked.address, self.node.now())
         if self.life.state is not ConnectionState.DIALLING:
             self.transport.abort()  # given up while it came up
             return
@@ -69,7 +69,7 @@
         self.timer = self.node.loop.call_later(left, self._late)
         self.life.transition_to(ConnectionState.WRITTEN)
         told = None if self.asked.remaining_time is None else left
-        self.transport.write(lines.open_request_line(self.asked.opening, told))
+        self.transport.write(lines.encode_open_request(self.asked.request, told))
 
     def data_received(self, data: bytes) -> None:
         if self.life.over:
@@ -88,10 +88,10 @@
 
     def _first_line(self) -> None:
         while self.up is None and not self.life.over:
-            line = lines.cut(self.buffer)
+            line = lines.pop_line(self.buffer)
             if line is None:
                 return
-            message = lines.server_line(line)
+            message = lines.parse_server_line(line)
             if isinstance(message, lines.Up) and self.life.state is ConnectionState.WRITTEN:
                 self.up = message
                 self.timer.cancel()
@@ -107,7 +107,7 @@
         """Passes whole lines on; what they say to the balancer is read on the way."""
         at = self.buffer.rfind(b"\n") + 1
         if not at:
-            if len(self.buffer) > lines.LONGEST:
+            if len(self.buffer) > lines.MAX_LINE_BYTES:
                 self._end("reset")
             return
         whole = bytes(self.buffer[:at])
@@ -118,7 +118,7 @@
                 self.node.feed(ServerSlow(self.asked.client, span, False))
         for line in whole.split(b"\n"):
             if line[:1] in (b"L", b"B", b"M"):
-                message = lines.server_line(line.removesuffix(b"\r"))
+                message = lines.parse_server_line(line.removesuffix(b"\r"))
                 if isinstance(message, lines.Load):
                     self.node.feed(LoadReported(self.asked.client, message))
                 elif isinstance(message, lines.EndLine) and message.ending in ("ok", "cancelled"):
--- a/pointgw/net/run/snapshots.py
+++ b/pointgw/net/run/snapshots.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from pointgw.net.core.reducer import Reducer
-from pointgw.net.core.start_times import SAME
+from pointgw.net.core.start_times import CLOCK_TOLERANCE_SECONDS
 from pointgw.net.wire.start_up import StartUpSettings
 from pointgw.policy import Balancer
 from pointgw.state import records, snapshot_writer
@@ -72,10 +72,10 @@
 
         def take(clean: bool) -> records.Snapshot:
             now, wall = clock(), time.time()
-            stepped = wall - now if abs(wall - now) > SAME else 0.0
+            stepped = wall - now if abs(wall - now) > CLOCK_TOLERANCE_SECONDS else 0.0
             discovery = reducer.discovery  # the one in force: a reload may have turned
             return records.Snapshot(
-                self.fingerprint, wall, reducer.index, f"{discovery[0]}:{discovery[1]}", clean,
+                self.fingerprint, wall, reducer.list_version, f"{discovery[0]}:{discovery[1]}", clean,
                 in_wall_time(self.membership.kept(now), stepped), health(reducer.balancer, now, stepped),
                 figures(reducer.balancer), self.membership.lives, self.run,
             )  # fmt: skip
--- a/pointgw/net/wire/lines.py
+++ b/pointgw/net/wire/lines.py
@@ -9,8 +9,8 @@
 from pointgw.interface import Ending, Report
 from pointgw.site import Malformed, report
 
-END = b"\r\n"
-LONGEST = 4096  # bytes of a line, its end included
+LINE_END = b"\r\n"
+MAX_LINE_BYTES = 4096  # bytes of a line, its end included
 PING, PONG, STATS, MOVE, ERR = b"PING", b"PONG", b"STATS", b"MOVE", b"ERR"
 PATIENCE = re.compile(r"\d{1,9}(\.\d{1,6})?")  # milliseconds
 ENDINGS: dict[bytes, Ending] = {b"BYE": "ok", b"ERR": "error", b"BUSY": "full", b"MOVE": "cancelled"}
@@ -75,19 +75,19 @@
 Answer = Decline | Failure
 
 
-def cut(buffer: bytearray) -> bytes | None:
+def pop_line(buffer: bytearray) -> bytes | None:
     """Takes the first whole line off a buffer, without its end; None while there is none."""
-    at = buffer.find(b"\n", 0, LONGEST)
+    at = buffer.find(b"\n", 0, MAX_LINE_BYTES)
     if at < 0:
-        if len(buffer) >= LONGEST:
-            raise Malformed(f"expected a line of at most {LONGEST} bytes")
+        if len(buffer) >= MAX_LINE_BYTES:
+            raise Malformed(f"expected a line of at most {MAX_LINE_BYTES} bytes")
         return None
     line = bytes(buffer[:at])
     del buffer[: at + 1]
     return line.removesuffix(b"\r")
 
 
-def client_line(line: bytes) -> Ping | OpenRequest:
+def parse_client_line(line: bytes) -> Ping | OpenRequest:
     """The first line of a client's connection."""
     if line == PING:
         return Ping()
@@ -126,21 +126,21 @@
     )
 
 
-def open_request_line(opening: OpenRequest, patience: float | None) -> bytes:
+def encode_open_request(opening: OpenRequest, patience: float | None) -> bytes:
     """The line for a server: as it came, but for the time that this balancer will wait."""
     if opening.remaining_time is None or patience is None:
         told = b"" if opening.remaining_time is None else b"%d" % round(opening.remaining_time * 1e3)
     else:
         told = b"%d" % max(1, int(patience * 1e3))
-    return opening.line_before_deadline + told + opening.line_after_deadline + END
+    return opening.line_before_deadline + told + opening.line_after_deadline + LINE_END
 
 
-def server_line(line: bytes) -> Up | EndLine | Load | None:
+def parse_server_line(line: bytes) -> Up | EndLine | Load | None:
     """A line of a server on a tunnel's connection; None: one that is the client's, or an `UP` without a
     receipt, which no server gives."""
     word, _, rest = line.partition(b" ")
     if word == b"UP" and rest.strip():
-        return Up(line + END)
+        return Up(line + LINE_END)
     if word == b"LOAD":
         try:
             load = float(rest)
@@ -151,16 +151,18 @@
     return None if ending is None else _closing(ending, rest)
 
 
-def probe_line(line: bytes) -> EndLine:
+def parse_probe_line(line: bytes) -> EndLine:
     """The answer to a probe."""
     word, _, rest = line.partition(b" ")
     return _closing("ok" if word == PONG else "error", rest)
 
 
-def answer_line(answer: Answer) -> bytes:
+def encode_answer(answer: Answer) -> bytes:
     if isinstance(answer, Failure):
-        return ERR + END
-    return b"BUSY %d" % round(answer.retry_after * 1e3) + END if answer.retry_after else b"BUSY" + END
+        return ERR + LINE_END
+    return (
+        b"BUSY %d" % round(answer.retry_after * 1e3) + LINE_END if answer.retry_after else b"BUSY" + LINE_END
+    )
 
 
 def _closing(ending: Ending, rest: bytes) -> EndLine:
--- a/pointgw/net/wire/server_list.py
+++ b/pointgw/net/wire/server_list.py
@@ -14,9 +14,9 @@
 from pointgw.site import Malformed
 
 PATH = "/registry/instances"
-LARGEST = 4 * 1024 * 1024  # bytes of an answer
-LONGEST_HEAD = 64 * 1024  # bytes until its body begins, what came of that with it included
-UNUSABLE = -1.0  # in place of a start that can't be read
+MAX_BODY_BYTES = 4 * 1024 * 1024  # bytes of an answer
+MAX_HEAD_BYTES = 64 * 1024  # bytes until its body begins, what came of that with it included
+INVALID_START = -1.0  # in place of a start that can't be read
 UNKNOWN_CELL = -1  # of an entry whose group can't be read
 STATES: dict[str, Literal["active", "leaving", "left"]] = {
     "up": "active", "draining": "leaving", "removed": "left",
@@ -35,11 +35,11 @@
 class ServerList:
     """The list or what changed of it."""
 
-    index: int
+    version: int
     is_full: bool
     servers: tuple[ServerEntry, ...]
     addresses: tuple[tuple[str, str, int], ...]  # a server's name, its host and port
-    unusable: int = 0  # entries that were left out or read in part
+    invalid_entries: int = 0  # entries that were left out or read in part
 
 
 def parse_server_list(value: Any, names: Names) -> ServerList:
@@ -79,7 +79,7 @@
         kind=_place(entry.get("type"), names.kinds),
         cell=int(cell) if cell is not None else UNKNOWN_CELL,
         zone=_place(entry.get("zone"), names.zones),
-        started_at=started / 1e3 if started is not None else UNUSABLE,
+        started_at=started / 1e3 if started is not None else INVALID_START,
         weight=weight if weight is not None else 1.0,
     )
     return line, None not in (started, weight, cell) and isinstance(status, str)
@@ -112,7 +112,7 @@
         raise Malformed(f"expected JSON: {fault}") from None
 
 
-def list_request(host: str, after: int | None, hold: float) -> bytes:
+def encode_list_request(host: str, after: int | None, hold: float) -> bytes:
     """Asks for the whole list, or for what comes after a version, within so many seconds."""
     query = "" if after is None else f"?from={after}&hold_ms={round(hold * 1e3)}"
     return f"GET {PATH}{query} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
@@ -127,9 +127,9 @@
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self.data = bytearray()
+        self.body = bytearray()
         self.head = 0  # bytes that came since the answer began, until its body
-        self.done = self.in_body = self.keeps_alive = False
+        self.is_complete = self.in_body = self.keep_alive = False
         self.sized = False  # its head tells where the body ends; else the end of the connection does
 
     def feed(self, data: bytes) -> None:
@@ -139,13 +139,13 @@
             self.parser.feed_data(data)
         except httptools.HttpParserError as fault:
             raise Malformed(f"expected HTTP: {fault}") from None
-        if not self.in_body and not self.done and self.head > LONGEST_HEAD:
-            raise Malformed(f"expected the head of an answer within {LONGEST_HEAD} bytes")
+        if not self.in_body and not self.is_complete and self.head > MAX_HEAD_BYTES:
+            raise Malformed(f"expected the head of an answer within {MAX_HEAD_BYTES} bytes")
 
     def on_message_begin(self) -> None:
-        if self.done:
+        if self.is_complete:
             raise ValueError("another answer after the one that was asked for")
-        self.data.clear()
+        self.body.clear()
         self.in_body = self.sized = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -155,21 +155,21 @@
         self.in_body = True
 
     def on_body(self, data: bytes) -> None:
-        if len(self.data) + len(data) > LARGEST:
+        if len(self.body) + len(data) > MAX_BODY_BYTES:
             raise ValueError("too large")
-        self.data += data
+        self.body += data
 
     def on_message_complete(self) -> None:
-        self.done, self.in_body, self.head = True, False, 0
-        self.keeps_alive = self.parser.should_keep_alive()  # told here only: afterwards it is always False
+        self.is_complete, self.in_body, self.head = True, False, 0
+        self.keep_alive = self.parser.should_keep_alive()  # told here only: afterwards it is always False
 
-    def ended(self) -> bool:
+    def stream_ended(self) -> bool:
         """The connection has ended; True: an answer was whole with that (RFC 9112, 6.3)."""
-        self.keeps_alive = False
+        self.keep_alive = False
         return self.in_body and not self.sized
 
-    def take_done(self) -> bool:
-        done, self.done = self.done, False
+    def pop_complete(self) -> bool:
+        done, self.is_complete = self.is_complete, False
         return done
 
     @property
--- a/pointgw/testbed/clients.py
+++ b/pointgw/testbed/clients.py
@@ -15,7 +15,7 @@
 
 from pointgw.net.run import tcp
 from pointgw.net.run.lingering_close import finish
-from pointgw.net.wire.lines import END, cut
+from pointgw.net.wire.lines import LINE_END, pop_line
 from pointgw.site import Malformed
 from pointgw.testbed import child
 from pointgw.testbed.demand import Wish, back_off, wishes
@@ -153,7 +153,7 @@
             f"OPEN {self.name} k{wish.number:x} c={profile.name},t=all,d={round(patience * 1e3)}{group}"
             f",w={round(wish.load * 1e6)},s={here.demand.swing:g}{',again=1' if client.back else ''}"
         )
-        self.transport.write(line.encode() + END)
+        self.transport.write(line.encode() + LINE_END)
         self.sent = True
         now = time.monotonic()
         here.writer.write(
@@ -172,7 +172,7 @@
             return
         tcp.resume(self.transport)
         if self.answered and self.client.mood is Mood.OPEN:
-            self.transport.write(b"".join(b"f%06d%s" % (i, b"x" * 90 + END) for i in range(FLOOD)))
+            self.transport.write(b"".join(b"f%06d%s" % (i, b"x" * 90 + LINE_END) for i in range(FLOOD)))
         self.client.here.loop.call_later(SIP, self._sip)
 
     def _late(self) -> None:
@@ -186,7 +186,7 @@
         if self.client.wish.slow and self.answered:
             tcp.pause(self.transport)
         try:
-            while (line := cut(self.buffer)) is not None:
+            while (line := pop_line(self.buffer)) is not None:
                 self._line(line)
         except Malformed:
             self._further(b"over-long line")
@@ -236,7 +236,7 @@
             if self.asked is None:
                 self.number_of += 1
                 self.asked = time.monotonic()
-                self.transport.write(b"m%d" % self.number_of + END)
+                self.transport.write(b"m%d" % self.number_of + LINE_END)
             here = self.client.here
             here.loop.call_later(here.demand.message_every, self._beat)
 
@@ -337,8 +337,8 @@
             try:
                 async with asyncio.timeout(PING_WITHIN):
                     reader, writer = await asyncio.open_connection(*self.pings[door.number])
-                    writer.write(b"PING" + END)
-                    well = await reader.readline() == b"PONG" + END
+                    writer.write(b"PING" + LINE_END)
+                    well = await reader.readline() == b"PONG" + LINE_END
                     writer.close()
             except (OSError, TimeoutError):
                 pass
--- a/pointgw/testbed/load.py
+++ b/pointgw/testbed/load.py
@@ -11,7 +11,7 @@
 from hdrh.histogram import HdrHistogram
 
 from pointgw.net.run.lingering_close import finish
-from pointgw.net.wire.lines import END
+from pointgw.net.wire.lines import LINE_END
 
 AFTER = 0.2  # seconds beyond the client timeout in which last answers come
 
@@ -29,7 +29,7 @@
         self.transport = cast(asyncio.Transport, transport)
         load = self.load
         line = f"OPEN {load.rng.getrandbits(64):016x} k{self.number:x} c={load.profile},t=all"
-        self.transport.write(f"{line},d={round(load.timeout * 1e3)}".encode() + END)
+        self.transport.write(f"{line},d={round(load.timeout * 1e3)}".encode() + LINE_END)
         load.loop.call_later(load.timeout, self._late)
 
     def data_received(self, data: bytes) -> None:
--- a/pointgw/testbed/server.py
+++ b/pointgw/testbed/server.py
@@ -16,7 +16,7 @@
 
 from pointgw.net.run import tcp
 from pointgw.net.run.lingering_close import finish
-from pointgw.net.wire.lines import END, MOVE, cut
+from pointgw.net.wire.lines import LINE_END, MOVE, pop_line
 from pointgw.site import Malformed
 from pointgw.testbed import child
 from pointgw.testbed.machine import Health, Held, Machine, Make
@@ -72,7 +72,7 @@
             return
         self.buffer += data
         try:
-            while (line := cut(self.buffer)) is not None:
+            while (line := pop_line(self.buffer)) is not None:
                 self._line(line)
         except Malformed:
             self.say(b"SYNTAX")
@@ -110,7 +110,7 @@
 
     def say(self, line: bytes) -> None:
         if self.stage is not Stage.OVER:
-            self.transport.write(line + END)
+            self.transport.write(line + LINE_END)
 
     def answer(self, line: bytes) -> None:
         """The answer to a setup."""
@@ -253,9 +253,7 @@
             if self.rng.random() < SWINGS:
                 self._tell_load(self.up[name], machine.swing(name, self.rng))
         health, warmth = machine.health.value, machine.warmth()
-        self.writer.write(
-            State(now, self.name, machine.load(), len(self.up), machine.piled, health, warmth)
-        )
+        self.writer.write(State(now, self.name, machine.load(), len(self.up), machine.piled, health, warmth))
         self.loop.call_later(1.0, self._each_second)
 
     def _drain(self) -> None:
--- a/tests/crossing/test_crowd.py
+++ b/tests/crossing/test_crowd.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from crossing.world import Conn, World, opening
-from pointgw.net.core.reducer import TOLD_WITHIN
+from pointgw.net.core.reducer import LIST_DEADLINE_SECONDS
 
 ALLOWED = 128  # descriptors of the process
 CROWD = 6 * ALLOWED
@@ -65,6 +65,7 @@
     async def serve() -> None:
         async with asyncio.TaskGroup() as group:
             for peer in world.servers:
+
                 async def taking(peer=peer) -> None:  # type: ignore[no-untyped-def]
                     while True:
                         group.create_task(answers(await peer.taken.get()))
@@ -97,7 +98,7 @@
             world.discovery.server = await asyncio.start_server(world.discovery._take, "127.0.0.1", at)
             back = time.monotonic()
             call = await world.discovery.call()
-            assert time.monotonic() - back < TOLD_WITHIN
+            assert time.monotonic() - back < LIST_DEADLINE_SECONDS
             call.answer(2)
             assert await served(port, "third", 5)
             assert process.poll() is None
--- a/tests/crossing/test_hand_over.py
+++ b/tests/crossing/test_hand_over.py
@@ -10,7 +10,7 @@
 from pointgw.net.core import events as ev
 from pointgw.net.invariant import violations
 from pointgw.net.run.balancer_process import BalancerProcess
-from pointgw.net.wire.lines import LONGEST
+from pointgw.net.wire.lines import MAX_LINE_BYTES
 
 
 async def asked(world: World) -> tuple[Any, Any]:
@@ -67,13 +67,13 @@
         client, server = await (world.opened() if joined else asked(world))
         (side,) = node.servers.values()
         most = 0
-        for _ in range(3 * LONGEST // 512):
+        for _ in range(3 * MAX_LINE_BYTES // 512):
             if not server.writer.is_closing():
                 server.say(b"y" * 512)
             await turns(1)
             most = max(most, len(side.buffer))
         assert await client.rest() == (b"" if joined else b"ERR\r\n")
-        assert most <= LONGEST + 64 * 1024 and not node.servers
+        assert most <= MAX_LINE_BYTES + 64 * 1024 and not node.servers
 
     play(scene, World(profile={"semantics": "side_effect"}))
 
--- a/tests/crossing/test_list_entries.py
+++ b/tests/crossing/test_list_entries.py
@@ -33,7 +33,7 @@
             states = {drains: "draining", 1 - drains: "up"}
             lines = [world.line(2, **odd), world.line(0, status=states[0]), world.line(1, status=states[1])]
             world.watch.answer(version, *lines)
-            await until(lambda version=version: node.reducer.index == version)  # type: ignore[misc]
+            await until(lambda version=version: node.reducer.list_version == version)  # type: ignore[misc]
             world.watch = await world.discovery.call(world.watch.conn)
             assert not node.reducer.balancer.servers[f"s-{drains}"].active, odd
             assert node.reducer.balancer.servers[f"s-{1 - drains}"].active, odd
@@ -47,7 +47,7 @@
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         nameless = world.line(0, name="s-9") | {"address": ""}
         world.watch.answer(2, nameless, world.line(0, status="draining"))
-        await until(lambda: node.reducer.index == 2)
+        await until(lambda: node.reducer.list_version == 2)
         assert not node.reducer.balancer.servers["s-9"].active
         await world.opened()
 
--- a/tests/crossing/test_own_faults.py
+++ b/tests/crossing/test_own_faults.py
@@ -67,8 +67,8 @@
 def test_a_stop_whose_step_fails_ends_all_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, _ = await world.opened()
-        stopping = type(node.reducer)._stopping
-        monkeypatch.setattr(type(node.reducer), "_stopping", failing(2, stopping))
+        stopping = type(node.reducer)._stop_requested
+        monkeypatch.setattr(type(node.reducer), "_stop_requested", failing(2, stopping))
         node.stop()
         assert await client.line() == b"MOVE\r\n"
         await asyncio.wait_for(asyncio.shield(node.ended), 4.0)
@@ -78,7 +78,7 @@
 
 def test_a_stop_that_never_ends_by_itself_is_ended_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
-        monkeypatch.setattr(type(node.reducer), "_stopping", failing(10**6, None))
+        monkeypatch.setattr(type(node.reducer), "_stop_requested", failing(10**6, None))
         began = time.monotonic()
         node.stop()
         await asyncio.wait_for(asyncio.shield(node.ended), 4.0)
--- a/tests/crossing/test_setup.py
+++ b/tests/crossing/test_setup.py
@@ -97,7 +97,7 @@
         client.end()
         # What makes a server ready comes in the same turn as the client's end.
         watch.answer(3, *(world.line(i, status="up") for i in range(2)))
-        await until(lambda: node.reducer.index == 3 and not node.clients)
+        await until(lambda: node.reducer.list_version == 3 and not node.clients)
         await turns()
         assert not world.sent() and not node.reducer.clients
 
@@ -169,7 +169,7 @@
         (side,) = node.servers.values()
         away = next(i for i, peer in enumerate(world.servers) if peer.port == side.asked.address[1])
         world.watch.answer(2, world.line(away, status="draining"))
-        await until(lambda: node.reducer.index == 2)
+        await until(lambda: node.reducer.list_version == 2)
         loop.before.set()
         at, server = await world.setup()
         if at == away:  # its connection comes up, and ends with nothing on it
--- a/tests/crossing/test_shutdown.py
+++ b/tests/crossing/test_shutdown.py
@@ -15,8 +15,8 @@
 import pytest
 
 from crossing.world import HeldLoop, World, opening, play, turns, until
-from pointgw.net.core import effects as fx
-from pointgw.net.core.reducer import ARRIVE_ON
+from pointgw.net.core import effects
+from pointgw.net.core.reducer import STOP_ACCEPT_SECONDS
 from pointgw.net.run.balancer_process import BalancerProcess
 
 STALL = {"setupGoal": 100.0, "clientTimeout": 300.0}  # the shortest stop: 0.9 s
@@ -66,7 +66,7 @@
         do = node._do
 
         def hold(effect: Any) -> None:
-            if isinstance(effect, fx.CloseIdleClients) and not client.writer.is_closing():
+            if isinstance(effect, effects.CloseIdleClients) and not client.writer.is_closing():
                 client.sock.setblocking(False)
                 os.write(client.sock.fileno(), opening())
             do(effect)
@@ -85,7 +85,7 @@
         do = node._do
 
         def hold(effect: Any) -> None:
-            if isinstance(effect, fx.ExitProcess) and not late:
+            if isinstance(effect, effects.ExitProcess) and not late:
                 late.append(socket.create_connection(("127.0.0.1", world.listen)))
                 late[0].sendall(opening())
             do(effect)
@@ -237,7 +237,7 @@
         client.say(b"PING\r\n")
         assert await client.line() == b"ERR\r\n"
         opened, _ = await world.opened()
-        assert node.now() < node.reducer.stop_requested_at + ARRIVE_ON
+        assert node.now() < node.reducer.stop_requested_at + STOP_ACCEPT_SECONDS
         assert await opened.rest() == b"MOVE\r\n"
 
     play(scene, World())
@@ -294,7 +294,7 @@
     path = tmp_path / "config.json"
     path.write_bytes(world.told())
     if discovery is not None:
-        told = world.told().replace(b":%d\"" % world.discovery.port, b":%d\"" % discovery)
+        told = world.told().replace(b':%d"' % world.discovery.port, b':%d"' % discovery)
         (tmp_path / "config.json.next").write_bytes(told)
     run = step + "\nimport sys\nfrom pointgw.__main__ import main\nsys.exit(main())\n"
     env = os.environ | {"GW_CONFIG": str(path)}
@@ -351,5 +351,3 @@
         other.stop()
 
     with_process(scene)
-
-
--- a/tests/crossing/test_size.py
+++ b/tests/crossing/test_size.py
@@ -41,7 +41,7 @@
         began = time.monotonic()
         told = {"index": 2, "snapshot": True, "endpoints": world.lines(weight=0.5)}
         world.watch.say(json.dumps(told, indent=4).encode())
-        await until(lambda: node.reducer.index == 2)
+        await until(lambda: node.reducer.list_version == 2)
         assert time.monotonic() - began < LIST_WITHIN
         assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < MEMORY
         world.watch = await world.discovery.call(world.watch.conn)
--- a/tests/crossing/test_watch.py
+++ b/tests/crossing/test_watch.py
@@ -11,10 +11,10 @@
 
 from crossing.world import Call, HeldLoop, World, opening, play, turns, until
 from pointgw.net.core.events import SettingsReloaded
-from pointgw.net.core.reducer import NEXT_CALL, TOLD_AFTER_WAIT, TOLD_WITHIN
+from pointgw.net.core.reducer import LIST_DEADLINE_SECONDS, NEXT_REQUEST_SECONDS, WATCH_DEADLINE_SECONDS
 from pointgw.net.run.balancer_process import BalancerProcess
 from pointgw.net.run.link import Link
-from pointgw.net.wire.server_list import LONGEST_HEAD
+from pointgw.net.wire.server_list import MAX_HEAD_BYTES
 
 CONNECTION = Link
 ASKED = {"askEvery": 4000.0}  # a watch waits 2 s
@@ -40,13 +40,13 @@
         # The first watch was answered; from this one on nothing comes.
         world.watch.answer(2)
         await world.discovery.call(world.watch.conn)
-        began, hold = time.monotonic(), node.reducer.hold
+        began, hold = time.monotonic(), node.reducer.watch_wait
         again = await world.discovery.call(await world.discovery.conn())
         took = time.monotonic() - began
-        assert hold < took < hold + 0.75 * TOLD_AFTER_WAIT  # what is left is for the answer
+        assert hold < took < hold + 0.75 * WATCH_DEADLINE_SECONDS  # what is left is for the answer
         again.answer(3, world.line(0, status="draining"))
-        await until(lambda: node.reducer.index == 3)
-        assert time.monotonic() - began < hold + TOLD_AFTER_WAIT
+        await until(lambda: node.reducer.list_version == 3)
+        assert time.monotonic() - began < hold + WATCH_DEADLINE_SECONDS
         await goes_to_the_other(node, world)
 
     play(scene, World(rules=ASKED))
@@ -88,7 +88,7 @@
         call = await world.discovery.call()
         assert time.monotonic() - began < 0.8
         call.answer(3, world.line(0, status="up"), world.line(1, status="draining"))
-        await until(lambda: node.reducer.index == 3)
+        await until(lambda: node.reducer.list_version == 3)
         client = await world.client()
         client.say(opening("last"))
         assert (await world.setup())[0] == 0
@@ -126,7 +126,7 @@
         b"nonsense\r\n\r\n",
         HEAD + b"{}",
         HEAD + b"[}",
-        b"HTTP/1.1 200 OK\r\n" + b"X-More: " + b"y" * LONGEST_HEAD + b"\r\n",
+        b"HTTP/1.1 200 OK\r\n" + b"X-More: " + b"y" * MAX_HEAD_BYTES + b"\r\n",
         b"HTTP/1.1 503 Away\r\nContent-Length: 0\r\n\r\n",
         HEAD + b"{}" + HEAD + b"{}",
         b"",
@@ -153,7 +153,7 @@
         if answer and not watch.conn.writer.is_closing():
             watch.conn.say(HEAD + b"{}")  # what still comes on the one that is over does not count
         await turns()
-        assert failed == 1 and node.reducer.index == 2
+        assert failed == 1 and node.reducer.list_version == 2
         await goes_to_the_other(node, world)
 
     play(scene, World(rules=ASKED))
@@ -165,7 +165,7 @@
         call = await world.discovery.call()
         await asyncio.sleep(2.0)  # discovery's own limit is 1 to 3 s, and it says so where it is over
         call.answer(2, world.line(0, status="draining"))
-        await until(lambda: node.reducer.index == 2)
+        await until(lambda: node.reducer.list_version == 2)
         assert len(world.discovery.conns) == 1
         await goes_to_the_other(node, world)
 
@@ -180,7 +180,7 @@
         for i in range(0, len(data), 37):
             world.watch.conn.say(data[i : i + 37])
             await turns(1)
-        await until(lambda: node.reducer.index == 2)
+        await until(lambda: node.reducer.list_version == 2)
         await goes_to_the_other(node, world)
 
     play(scene, World())
@@ -198,7 +198,7 @@
         assert b"from=" not in call.head
         call.answer(3, world.line(0, status="draining"), world.line(1), whole=True)
         await other.call(call.conn)
-        await until(lambda: node.reducer.index == 3)
+        await until(lambda: node.reducer.list_version == 3)
         await goes_to_the_other(node, world)
         other.stop()
 
@@ -239,7 +239,7 @@
         loop.before.set()
         call = await world.discovery.call()
         call.answer(2, world.line(0, status="draining"))
-        await until(lambda: node.reducer.index == 2)
+        await until(lambda: node.reducer.list_version == 2)
         assert first.transport is None or first.transport.is_closing()
         await goes_to_the_other(node, world)
 
@@ -269,7 +269,7 @@
         made(*held[0])
         assert await first.rest() == b""  # no second copy of the call, and its end acts on nothing
         call.answer(2, world.line(0, status="draining"))
-        await until(lambda: node.reducer.index == 2)
+        await until(lambda: node.reducer.list_version == 2)
         await goes_to_the_other(node, world)
 
     monkeypatch.setattr(CONNECTION, "connection_made", hold)
@@ -306,7 +306,7 @@
             loop.before = None
         else:
             call = await world.discovery.call()
-            node.reducer.pause = NEXT_CALL  # as after many that failed at once
+            node.reducer.retry_pause = NEXT_REQUEST_SECONDS  # as after many that failed at once
             if kind == "reset":
                 call.conn.reset()
             elif kind != "hangs":
@@ -314,8 +314,8 @@
         in_reach = time.monotonic()
         call = await world.discovery.call()
         call.answer(2, world.line(0, status="draining"))
-        await until(lambda: node.reducer.index == 2)
-        assert time.monotonic() - in_reach < TOLD_WITHIN
+        await until(lambda: node.reducer.list_version == 2)
+        assert time.monotonic() - in_reach < LIST_DEADLINE_SECONDS
         await goes_to_the_other(node, world)
 
     play(scene, World(), seconds=30.0)
@@ -328,10 +328,10 @@
         conn = world.watch.conn
         conn.say(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n" + body[:20])
         await turns()
-        assert node.reducer.index == 1  # it may still go on
+        assert node.reducer.list_version == 1  # it may still go on
         conn.say(body[20:])
         conn.end()
-        await until(lambda: node.reducer.index == 2, 0.2)
+        await until(lambda: node.reducer.list_version == 2, 0.2)
         assert not node.reducer.balancer.servers["s-0"].active and not node.discovery.failing
         world.watch = await world.discovery.call()
         assert b"from=2" in world.watch.head
@@ -345,6 +345,6 @@
         conn.say(b'HTTP/1.1 200 OK\r\n\r\n{"index":2,"snapshot":false,"endpoi')
         conn.end()
         await until(lambda: node.discovery.failing)
-        assert node.reducer.index == 1
+        assert node.reducer.list_version == 1
 
     play(scene, World())
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -6,7 +6,7 @@
 
 from pointgw.interface import ServerEntry
 from pointgw.net.core.start_times import StartTimes
-from pointgw.net.wire.server_list import UNUSABLE
+from pointgw.net.wire.server_list import INVALID_START
 
 WARM_UP = 20.0
 BEGAN = 1_000_000.0  # the wall clock as the process began; its own clock goes on from there
@@ -35,7 +35,7 @@
     assert translated(times, told, now + 9.0, now + 9.0) == started  # a later step changes nothing
 
 
-@pytest.mark.parametrize("told", [UNUSABLE, BEGAN + 10 * HOUR])
+@pytest.mark.parametrize("told", [INVALID_START, BEGAN + 10 * HOUR])
 def test_a_start_that_cannot_be_is_taken_as_now(told: float) -> None:
     times, now = StartTimes(WARM_UP), BEGAN + 50.0
     assert translated(times, told, now, now) == now
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -27,7 +27,7 @@
 from pointgw.net.core.events import ClientArrived, ListReceived, TimerDue
 from pointgw.net.core.reducer import Reducer
 from pointgw.net.run.snapshots import SnapshotRunner, restore_learned_state
-from pointgw.net.wire.lines import client_line
+from pointgw.net.wire.lines import parse_client_line
 from pointgw.net.wire.server_list import ServerList
 from pointgw.net.wire.start_up import StartUpSettings, parse_start_up_file
 from pointgw.state import snapshot_format
@@ -412,7 +412,7 @@
     """The ports that so many tunnels, all at once, are sent to."""
     ports, now = set(), time.time()
     for i in range(count):
-        opening = client_line(b"OPEN %d k%d c=chat,d=1500" % (i, i))
+        opening = parse_client_line(b"OPEN %d k%d c=chat,d=1500" % (i, i))
         effects = reducer.dispatch(ClientArrived(i, opening), now)  # type: ignore[arg-type]
         ports |= {effect.address[1] for effect in effects if isinstance(effect, Connect)}
     for effect in reducer.dispatch(TimerDue(), now + 0.2):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,13 +6,13 @@
 
 from pointgw.net.wire import lines
 from pointgw.net.wire.server_list import (
-    LARGEST,
-    LONGEST_HEAD,
+    INVALID_START,
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
     UNKNOWN_CELL,
-    UNUSABLE,
     Names,
     Response,
-    list_request,
+    encode_list_request,
     parse_server_list_body,
 )
 from pointgw.net.wire.start_up import flat, parse_start_up_file
@@ -27,7 +27,7 @@
 
 
 def test_a_first_line_is_decoded() -> None:
-    opening = lines.client_line(OPEN)
+    opening = lines.parse_client_line(OPEN)
     assert isinstance(opening, lines.OpenRequest)
     got = (opening.name, opening.key, opening.profile, opening.tenant, opening.group, opening.current_server)
     assert got == ("9b1f", "7f3a", "chat", "acme", "5c0f", "")
@@ -47,9 +47,9 @@
 def test_a_server_gets_the_line_as_it_came_but_for_the_time(
     line: bytes, patience: float | None, sent: bytes
 ) -> None:
-    opening = lines.client_line(line)
+    opening = lines.parse_client_line(line)
     assert isinstance(opening, lines.OpenRequest)
-    assert lines.open_request_line(opening, patience) == sent
+    assert lines.encode_open_request(opening, patience) == sent
 
 
 BAD_FIELDS = (b"", b"c", b"=a", b"c=a,,t=b", b"c=a,c=b", b" d=5", b"c=\x00", b"\xff")
@@ -64,7 +64,7 @@
 )
 def test_a_bad_first_line_is_refused(line: bytes) -> None:
     with pytest.raises(Malformed):
-        lines.client_line(line)
+        lines.parse_client_line(line)
 
 
 @pytest.mark.parametrize(
@@ -84,7 +84,7 @@
     ],
 )
 def test_a_servers_line_is_decoded(line: bytes, message: object) -> None:
-    assert lines.server_line(line) == message
+    assert lines.parse_server_line(line) == message
 
 
 @pytest.mark.parametrize(
@@ -98,7 +98,7 @@
     ],
 )
 def test_the_answer_to_a_probe_is_decoded(line: bytes, closing: lines.EndLine) -> None:
-    assert lines.probe_line(line) == closing
+    assert lines.parse_probe_line(line) == closing
 
 
 @pytest.mark.parametrize(
@@ -106,23 +106,23 @@
     [(lines.Failure(), b"ERR\r\n"), (lines.Decline(0.0), b"BUSY\r\n"), (lines.Decline(0.6), b"BUSY 600\r\n")],
 )
 def test_a_final_answer_is_one_line(answer: lines.Answer, sent: bytes) -> None:
-    assert lines.answer_line(answer) == sent
+    assert lines.encode_answer(answer) == sent
 
 
 def test_lines_are_cut_where_they_end() -> None:
     buffer = bytearray(b"PING\r\nOPEN")
-    assert lines.cut(buffer) == b"PING" and lines.cut(buffer) is None and buffer == b"OPEN"
+    assert lines.pop_line(buffer) == b"PING" and lines.pop_line(buffer) is None and buffer == b"OPEN"
     # Guards against a peer that fills the memory with a line that never ends.
-    for much in (b"x" * lines.LONGEST, b"x" * 5000 + b"\r\n"):
+    for much in (b"x" * lines.MAX_LINE_BYTES, b"x" * 5000 + b"\r\n"):
         with pytest.raises(Malformed):
-            lines.cut(bytearray(much))
+            lines.pop_line(bytearray(much))
 
 
 def test_a_list_is_decoded() -> None:
     told = parse_server_list_body(
         json.dumps({"index": 43, "snapshot": False, "endpoints": [ENTRY]}).encode(), NAMES
     )
-    assert (told.index, told.is_full, told.addresses) == (43, False, (("s-1", "127.1.0.18", 8443),))
+    assert (told.version, told.is_full, told.addresses) == (43, False, (("s-1", "127.1.0.18", 8443),))
     assert told.servers[0] == ("s-1", "leaving", 1, 3, 1, 2.5, 1.5)
     later = [ENTRY | {"status": "resting"}, ENTRY | {"zone": "z", "type": "m9", "more": 1}]
     told = parse_server_list_body(
@@ -151,14 +151,14 @@
     response = Response()
     for byte in b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}":
         response.feed(bytes([byte]))
-    assert response.take_done() and response.status == 200 and response.data == b"{}"
+    assert response.pop_complete() and response.status == 200 and response.body == b"{}"
     response.feed(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-    assert response.status == 503 and response.take_done() and not response.take_done()
+    assert response.status == 503 and response.pop_complete() and not response.pop_complete()
     with pytest.raises(Malformed):
         response.feed(b"nonsense\r\n\r\n")
     # Guards the memory limit against an answer without end.
     with pytest.raises(Malformed):
-        Response().feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9999999\r\n\r\n" + b" " * (LARGEST + 1))
+        Response().feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9999999\r\n\r\n" + b" " * (MAX_BODY_BYTES + 1))
     # Guards a watch against what nobody asked for: it would be taken for the next call's answer.
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
     with pytest.raises(Malformed):
@@ -166,7 +166,7 @@
     endless = Response()
     endless.feed(b"HTTP/1.1 200 OK\r\n")
     with pytest.raises(Malformed):
-        for _ in range(LONGEST_HEAD // 100 + 1):
+        for _ in range(MAX_HEAD_BYTES // 100 + 1):
             endless.feed(b"X-More: " + b"y" * 100 + b"\r\n")
 
 
@@ -178,8 +178,8 @@
         ('{"name":"s","status":"up","address":"127.0.0.1:0"}', ("s", "active", -1, 0, -1, 0.0, 1.0)),
         ('{"name":"s","status":"up","weight":NaN}', ("s", "active", -1, 0, -1, 0.0, 1.0)),
         ('{"name":"s","status":"up","weight":-1}', ("s", "active", -1, 0, -1, 0.0, 1.0)),
-        ('{"name":"s","status":"up","since_ms":1e999}', ("s", "active", -1, 0, -1, UNUSABLE, 1.0)),
-        ('{"name":"s","status":"up","since_ms":-5}', ("s", "active", -1, 0, -1, UNUSABLE, 1.0)),
+        ('{"name":"s","status":"up","since_ms":1e999}', ("s", "active", -1, 0, -1, INVALID_START, 1.0)),
+        ('{"name":"s","status":"up","since_ms":-5}', ("s", "active", -1, 0, -1, INVALID_START, 1.0)),
         ('{"name":"s","status":"up","group":"x"}', ("s", "active", -1, UNKNOWN_CELL, -1, 0.0, 1.0)),
         ('{"name":7,"status":"up"}', None),
         ("null", None),
@@ -192,7 +192,7 @@
     told = parse_server_list_body(
         f'{{"index":1,"snapshot":true,"endpoints":[{entry},{sound}]}}'.encode(), Names((), ())
     )
-    assert told.unusable == 1 and told.addresses == (("t", "127.0.0.1", 7),)
+    assert told.invalid_entries == 1 and told.addresses == (("t", "127.0.0.1", 7),)
     assert told.servers[-1].state == "leaving" and told.servers[-1].server == "t"
     assert told.servers[:-1] == (() if read is None else (read,))
 
@@ -201,7 +201,9 @@
     ("after", "path"), [(None, "/registry/instances"), (41, "/registry/instances?from=41&hold_ms=20000")]
 )
 def test_a_call_to_discovery(after: int | None, path: str) -> None:
-    assert list_request("127.0.0.1:8500", after, 20.0).startswith(f"GET {path} HTTP/1.1\r\nHost: ".encode())
+    assert encode_list_request("127.0.0.1:8500", after, 20.0).startswith(
+        f"GET {path} HTTP/1.1\r\nHost: ".encode()
+    )
 
 
 def test_nested_settings_become_fields() -> None:
