--- a/benchmarks/blind.py
+++ b/benchmarks/blind.py
@@ -74,11 +74,14 @@
         assert found is not None
         facts = tuple(
             msgspec.structs.replace(
-                f, at=f.at - age, seen=max(0.0, f.seen - age), started=f.started and f.started - age
+                f,
+                confirmed_at=f.confirmed_at - age,
+                seen_at=max(0.0, f.seen_at - age),
+                started_at=f.started_at and f.started_at - age,
             )
-            for f in found.facts
+            for f in found.servers
         )
-        store.save(encode(msgspec.structs.replace(found, facts=facts, written=found.written - age)))
+        store.save(encode(msgspec.structs.replace(found, servers=facts, written_at=found.written_at - age)))
         store.release()
 
     return between
@@ -126,9 +129,7 @@
     return found | {"without trust": (told, None), "no memory": (blind, None)}
 
 
-async def all_of(
-    wanted: dict[str, Job], seeds: int, beside: int, folder: Path
-) -> dict[str, list[Seen]]:
+async def all_of(wanted: dict[str, Job], seeds: int, beside: int, folder: Path) -> dict[str, list[Seen]]:
     gate = asyncio.Semaphore(beside)
     found: dict[str, list[Seen]] = {}
     runs = iter(range(os.getpid(), os.getpid() + 10_000))
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -1,6 +1,6 @@
 """What a memory on disk costs: start-up with 10,000 entries, bytes, memory, and the loop while fsync is held.
 
-    python benchmarks/state_cost.py [--entries 10000] [--seconds 8]
+python benchmarks/state_cost.py [--entries 10000] [--seconds 8]
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     store.claim("n0")
 
     def take(clean: bool) -> Snapshot:
-        return Snapshot("mark", time.time(), 1, "here", clean, kept.kept(time.time()))
+        return Snapshot("mark", time.time(), 1, "here", clean, kept.snapshot_records(time.time()))
 
     keeper = SnapshotWriter(store, take, lambda: kept.change_count, loop)
     lags: list[float] = []
@@ -68,7 +68,7 @@
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     made = roster(told.entries, now)
     grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before
-    memory = Snapshot("mark", now, 1, "here", False, made.kept(now))
+    memory = Snapshot("mark", now, 1, "here", False, made.snapshot_records(now))
     data = snapshot_format.encode(memory)
     with tempfile.TemporaryDirectory() as folder:
         store = SnapshotStore(folder)
@@ -88,11 +88,11 @@
         with tempfile.TemporaryDirectory() as folder:
             lags, keeper = asyncio.run(held(told.entries, told.seconds, stall, folder))
         lags.sort()
-        rate = keeper.figures.size / told.seconds / 1e3
+        rate = keeper.stats.bytes_written / told.seconds / 1e3
         print(
             f"fsync of {stall:g} s, 200 changes a second: loop late p50 {1e3 * lags[len(lags) // 2]:.1f} ms,"
             f" p99 {1e3 * lags[int(0.99 * len(lags))]:.1f} ms, worst {1e3 * lags[-1]:.1f} ms;"
-            f" {keeper.figures.written} generations, {rate:.0f} kB a second"
+            f" {keeper.stats.write_count} generations, {rate:.0f} kB a second"
         )
 
 
--- a/pointgw/command/parts.py
+++ b/pointgw/command/common.py
@@ -27,7 +27,7 @@
 
 
 @contextmanager
-def faulty() -> Iterator[None]:
+def report_invalid_file() -> Iterator[None]:
     """A file with faults: a line for each, and exit 2."""
     try:
         yield
--- a/pointgw/command/main.py
+++ b/pointgw/command/main.py
@@ -9,7 +9,7 @@
 import click
 
 from pointgw import validation
-from pointgw.command.parts import Address, faulty
+from pointgw.command.common import Address, report_invalid_file
 from pointgw.site import Malformed
 
 KINDS = ("operator", "start", "scenario", "script")
@@ -95,10 +95,10 @@
     listen: tuple[str, int], to: tuple[str, int], script: str | None, seed: int, trace: str | None
 ) -> int:
     """Stand between two sockets and disturb what passes, until Ctrl-C."""
-    from pointgw.fault_proxy.serve import serve_box
+    from pointgw.fault_proxy.serve import serve_fault_proxy
 
-    with faulty():
-        return serve_box(listen, to, script, seed, trace)
+    with report_invalid_file():
+        return serve_fault_proxy(listen, to, script, seed, trace)
 
 
 @pointgw.group()
@@ -160,7 +160,7 @@
     """
     from pointgw.command.rig import play_and_show
 
-    with faulty():
+    with report_invalid_file():
         return play_and_show("demo", 1, "srlb", folder, as_json, True, seconds)
 
 
@@ -183,7 +183,7 @@
     """Play SCENARIO, a file or a name of the library (`pointgw rig list`). Exit 1: a rule was broken."""
     from pointgw.command.rig import play_and_show
 
-    with faulty():
+    with report_invalid_file():
         return play_and_show(scenario, seeds, policy, folder, as_json, plot, None)
 
 
@@ -192,7 +192,7 @@
     """Name the scenarios of the library."""
     from pointgw.testbed.scenario import library, read
 
-    with faulty():
+    with report_invalid_file():
         for name in library():
             click.echo(f"{name:<22} {read(name).about}")
 
@@ -214,20 +214,35 @@
     """Show RESULT (a result.json), or two of them side by side with error bars over their seeds."""
     from pointgw.command.rig import show
 
-    with faulty():
+    with report_invalid_file():
         return show(result, other, as_json)
 
 
 @pointgw.command()
 @click.option("--to", type=Address(), required=True, help="HOST:PORT of a balancer or server, loopback.")
-@click.option("--rate", type=click.FloatRange(0.1, 1e5), default=100.0, show_default=True,
-              help="New tunnels a second, whether or not the ones before were answered.")
+@click.option(
+    "--rate",
+    type=click.FloatRange(0.1, 1e5),
+    default=100.0,
+    show_default=True,
+    help="New tunnels a second, whether or not the ones before were answered.",
+)
 @click.option("--seconds", type=click.FloatRange(0.1, 3600.0), default=10.0, show_default=True)
-@click.option("--life", type=click.FloatRange(0.0, 3600.0), default=1.0, show_default=True,
-              help="Seconds that each tunnel stays open.")
+@click.option(
+    "--life",
+    type=click.FloatRange(0.0, 3600.0),
+    default=1.0,
+    show_default=True,
+    help="Seconds that each tunnel stays open.",
+)
 @click.option("--profile", default="tally-sync", show_default=True, help="Its name in the settings.")
-@click.option("--timeout", type=click.FloatRange(0.01, 60.0), default=1.8, show_default=True,
-              help="Seconds that a client waits for its answer.")
+@click.option(
+    "--timeout",
+    type=click.FloatRange(0.01, 60.0),
+    default=1.8,
+    show_default=True,
+    help="Seconds that a client waits for its answer.",
+)
 @click.option("--seed", default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="Figures as JSON on standard output.")
 def load(
@@ -242,15 +257,30 @@
 
 
 @pointgw.command("stand-in")
-@click.option("--listen", type=Address(), default="127.0.0.1:0", show_default=True,
-              help="First server's address; the others follow.")
+@click.option(
+    "--listen",
+    type=Address(),
+    default="127.0.0.1:0",
+    show_default=True,
+    help="First server's address; the others follow.",
+)
 @click.option("--discovery", type=Address(), default="127.0.0.1:0", show_default=True)
 @click.option("--servers", type=click.IntRange(2, 200), default=4, show_default=True)
-@click.option("--capacity", type=click.FloatRange(0.001, 1e6), default=1.0, show_default=True,
-              help="Work a second that each server can do.")
+@click.option(
+    "--capacity",
+    type=click.FloatRange(0.001, 1e6),
+    default=1.0,
+    show_default=True,
+    help="Work a second that each server can do.",
+)
 @click.option("--config", type=click.Path(dir_okay=False), help="Write a start-up file for a balancer here.")
-@click.option("--balancer", type=Address(), default="127.0.0.1:8443", show_default=True,
-              help="Where that balancer is to listen.")
+@click.option(
+    "--balancer",
+    type=Address(),
+    default="127.0.0.1:8443",
+    show_default=True,
+    help="Where that balancer is to listen.",
+)
 def stand_in(
     listen: tuple[str, int], discovery: tuple[str, int], servers: int, capacity: float, config: str | None,
     balancer: tuple[str, int],
--- a/pointgw/command/state.py
+++ b/pointgw/command/state.py
@@ -25,9 +25,9 @@
 
 
 def _damage(folder: str, found: LoadResult) -> bool:
-    for what in found.lost:
+    for what in found.damaged:
         click.echo(f"pointgw state: {folder}: damaged: {what}", err=True)
-    return bool(found.lost)
+    return bool(found.damaged)
 
 
 def show(folder: str, as_json: bool) -> int:
@@ -39,11 +39,11 @@
     memory, now = found.snapshot, time.time()
     entries = rows(memory, now)
     if as_json:
-        head = {"generation": found.generation, "age": now - memory.written, "clean": memory.clean}
-        click.echo(json.dumps(head | {"entries": entries, "lost": list(found.lost)}))
+        head = {"generation": found.generation, "age": now - memory.written_at, "clean": memory.clean_stop}
+        click.echo(json.dumps(head | {"entries": entries, "lost": list(found.damaged)}))
     else:
-        stop = "after a stop in order" if memory.clean else "while serving"
-        click.echo(f"generation {found.generation}, written {now - memory.written:.1f} s ago {stop}")
+        stop = "after a stop in order" if memory.clean_stop else "while serving"
+        click.echo(f"generation {found.generation}, written {now - memory.written_at:.1f} s ago {stop}")
         for row in entries:
             click.echo(
                 f"{row['server']!s:<24} {row['state']!s:<8} age {row['age']:>10} s  trust {row['trust']:<5}"
@@ -60,7 +60,7 @@
     if found.snapshot is None:
         click.echo(f"{folder}: no sound generation")
         return 1
-    click.echo(f"{folder}: generation {found.generation} is sound, {len(found.snapshot.facts)} entries")
+    click.echo(f"{folder}: generation {found.generation} is sound, {len(found.snapshot.servers)} entries")
     return 1 if damaged else 0
 
 
--- a/pointgw/fault_proxy/box.py
+++ b/pointgw/fault_proxy/proxy.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 from typing import cast
 
-from pointgw.fault_proxy.schedule import Cut, HalfClose, Pass, Schedule, Stall, Step, chosen
+from pointgw.fault_proxy.schedule import Close, Forward, HalfClose, Schedule, Stall, Step, select_rules
 from pointgw.fault_proxy.script import Script
 from pointgw.net.run import tcp
 
@@ -47,10 +47,10 @@
 
     due: float
     data: bytes
-    end: HalfClose | Cut | None = None
+    end: HalfClose | Close | None = None
 
 
-class End(asyncio.Protocol):
+class Endpoint(asyncio.Protocol):
     """One of the two sockets of a connection."""
 
     __slots__ = ("link", "out", "transport")
@@ -76,10 +76,10 @@
         self.link.lost(exc is not None)
 
     def pause_writing(self) -> None:
-        self.link.into(self).blocked = True
+        self.link.direction_into(self).blocked = True
 
     def resume_writing(self) -> None:
-        flow = self.link.into(self)
+        flow = self.link.direction_into(self)
         flow.blocked = False
         flow.pump()
 
@@ -92,7 +92,7 @@
         "timer", "wake",
     )  # fmt: skip
 
-    def __init__(self, link: Connection, source: End, target: End) -> None:
+    def __init__(self, link: Connection, source: Endpoint, target: Endpoint) -> None:
         self.link, self.source, self.target = link, source, target
         self.schedule: Schedule | None = None
         self.queue: deque[Waiting] = deque()
@@ -114,7 +114,7 @@
     def take(self, steps: list[Step]) -> None:
         now = self.link.loop.time()
         for step in steps:
-            if isinstance(step, Pass):
+            if isinstance(step, Forward):
                 self._queue(step, now)
             elif isinstance(step, Stall):
                 self.stalled = self.stalled or not step.seconds
@@ -130,7 +130,7 @@
                 self.wake = self.link.loop.call_later(wait, self.by_the_clock)
         self.pump()
 
-    def _queue(self, step: Pass, now: float) -> None:
+    def _queue(self, step: Forward, now: float) -> None:
         self.ready = max(self.ready, now + step.delay)
         size = len(step.data) if step.rate is None else max(1, int(step.rate * SLICE))
         for at in range(0, len(step.data), size):
@@ -171,13 +171,13 @@
 class Connection:
     """One connection through the box: two sockets and two directions."""
 
-    def __init__(self, box: Box, number: int) -> None:
+    def __init__(self, box: FaultProxy, number: int) -> None:
         self.box, self.number, self.loop = box, number, box.loop
         self.began = self.loop.time()
         self.name = ""
         self.first = bytearray()  # what came while it had no name
         self.first_ended = False
-        self.near, self.far = End(self), End(self)
+        self.near, self.far = Endpoint(self), Endpoint(self)
         self.up, self.down = Flow(self, self.near, self.far), Flow(self, self.far, self.near)
         self.state = Link.NAMING
         self.task: asyncio.Task[None] | None = None
@@ -191,11 +191,11 @@
     def age(self) -> float:
         return self.loop.time() - self.began
 
-    def into(self, end: End) -> Flow:
+    def direction_into(self, end: Endpoint) -> Flow:
         """The direction that is written to a socket."""
         return self.down if end is self.near else self.up
 
-    def made(self, end: End) -> None:
+    def made(self, end: Endpoint) -> None:
         if end is self.near:
             self.box.connections[self] = None
             if self.box.script.known_by == "order":
@@ -206,7 +206,7 @@
             self.to(Link.PASSING)
             self.up.pump()
 
-    def received(self, end: End, data: bytes) -> None:
+    def received(self, end: Endpoint, data: bytes) -> None:
         if self.state is Link.ENDED:
             return
         flow = self.up if end is self.near else self.down
@@ -217,7 +217,7 @@
         elif not flow.schedule.over:
             flow.take(flow.schedule.feed(data, self.age()))
 
-    def finished(self, end: End) -> None:
+    def finished(self, end: Endpoint) -> None:
         if self.state is Link.ENDED:
             return
         flow = self.up if end is self.near else self.down
@@ -230,7 +230,7 @@
         self.name = name
         script, seed = self.box.script, self.box.seed
         number = self.number if script.known_by == "order" else None
-        rules = chosen(script, seed, name, number)
+        rules = select_rules(script, seed, name, number)
         refusing = next((i for i in rules if script.rule[i].act == "refuse"), None)
         if refusing is not None:
             self.box.traced(name, [f"{name} up rule={refusing} refuse byte=0 line=0"])
@@ -247,7 +247,7 @@
 
     def turn(self) -> None:
         """The box has other rules: both directions begin anew by them."""
-        rules = chosen(self.box.script, self.box.seed, self.name, self.number)
+        rules = select_rules(self.box.script, self.box.seed, self.name, self.number)
         self.began = self.loop.time()
         for flow, way in ((self.up, "up"), (self.down, "down")):
             if flow.schedule is not None and not flow.schedule.over and self.state is not Link.ENDED:
@@ -262,9 +262,9 @@
         except OSError:
             self._stop(True)
 
-    def end(self, flow: Flow, how: HalfClose | Cut) -> None:
+    def end(self, flow: Flow, how: HalfClose | Close) -> None:
         """A direction has passed its last byte."""
-        if isinstance(how, Cut):
+        if isinstance(how, Close):
             self._stop(how.reset)
             return
         flow.done = True
@@ -302,16 +302,16 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class ProxyStats:
     """What a box has seen."""
 
     connections: int = 0
-    traced: int = 0
-    left_out: int = 0  # lines of trace over `TRACED`
+    traced_lines: int = 0
+    dropped_lines: int = 0  # lines of trace over `TRACED`
 
 
 @dataclass(slots=True, eq=False)
-class Box:
+class FaultProxy:
     """Listens, and stands between each that connects and the target.
 
     `async with Box(script, seed, target) as box:` listens on a free port of 127.0.0.1, `box.address`.
@@ -323,7 +323,7 @@
     listen: Address = ("127.0.0.1", 0)
     loop: asyncio.AbstractEventLoop = field(init=False)
     connections: dict[Connection, None] = field(default_factory=dict, init=False)
-    figures: Figures = field(default_factory=Figures, init=False)
+    stats: ProxyStats = field(default_factory=ProxyStats, init=False)
     _names: Counter[str] = field(default_factory=Counter, init=False)
     _traces: dict[str, list[str]] = field(default_factory=dict, init=False)
     _server: asyncio.Server | None = field(default=None, init=False)
@@ -339,9 +339,9 @@
     def address(self) -> Address:
         return self.listen
 
-    def _accept(self) -> End:
-        number = self.figures.connections
-        self.figures.connections += 1
+    def _accept(self) -> Endpoint:
+        number = self.stats.connections
+        self.stats.connections += 1
         return Connection(self, number).near
 
     def name_of(self, first: bytes) -> str:
@@ -351,7 +351,7 @@
         self._names[base] += 1
         return base if self._names[base] == 1 else f"{base}.{self._names[base]}"
 
-    def turn(self, script: Script) -> None:
+    def replace_script(self, script: Script) -> None:
         """Turns to other rules, for open connections too: their moments count from now on.
 
         Only where connections are known by order, as the first lines of open ones have passed.
@@ -363,9 +363,9 @@
             link.turn()
 
     def traced(self, name: str, lines: list[str]) -> None:
-        room = max(0, TRACED - self.figures.traced)
-        self.figures.left_out += max(0, len(lines) - room)
-        self.figures.traced += min(len(lines), room)
+        room = max(0, TRACED - self.stats.traced_lines)
+        self.stats.dropped_lines += max(0, len(lines) - room)
+        self.stats.traced_lines += min(len(lines), room)
         if lines[:room]:
             self._traces.setdefault(name, []).extend(lines[:room])
 
@@ -384,7 +384,7 @@
         if self._server is not None:
             await self._server.wait_closed()
 
-    async def __aenter__(self) -> Box:
+    async def __aenter__(self) -> FaultProxy:
         await self.start()
         return self
 
--- a/pointgw/fault_proxy/schedule.py
+++ b/pointgw/fault_proxy/schedule.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
+class Forward:
     """These bytes go on, so many seconds after they came, at no more than so many bytes a second."""
 
     data: bytes
@@ -41,17 +41,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
+class Close:
     """Both directions end at once: in order, or by a reset."""
 
     reset: bool
 
 
-Step = Pass | Stall | HalfClose | Cut
+Step = Forward | Stall | HalfClose | Close
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class TraceEntry:
     """One line of the trace: what was decided, and at which byte and line of the direction."""
 
     way: str
@@ -99,11 +99,9 @@
     return drawn and number >= rule.first and (number - rule.first) % rule.every == 0
 
 
-def chosen(script: Script, seed: int, name: str, number: int | None) -> list[int]:
+def select_rules(script: Script, seed: int, name: str, number: int | None) -> list[int]:
     """The numbers of the rules that hold for a connection."""
-    return [
-        i for i, rule in enumerate(script.rule) if concerns(rule, number, Random(f"{seed}/{name}/{i}"))
-    ]
+    return [i for i, rule in enumerate(script.rule) if concerns(rule, number, Random(f"{seed}/{name}/{i}"))]
 
 
 class Schedule:
@@ -116,7 +114,7 @@
             for i in rules
             if script.rule[i].way in (way, "both") and script.rule[i].act != "refuse"
         ]
-        self.trace: list[Choice] = []
+        self.trace: list[TraceEntry] = []
         self.byte = self.line = 0  # of what has come in
         self.fresh = True  # the next byte begins a line
         self.delay = 0.0
@@ -203,7 +201,7 @@
             elif rule.act in ON_BOTH:
                 self._give(bytes(self.held), steps)
                 self.over = True
-                steps.append(Cut(rule.act == "reset"))
+                steps.append(Close(rule.act == "reset"))
 
     def _has_come(self, rule: Rule) -> bool:
         if rule.after_seconds is not None:
@@ -280,11 +278,11 @@
                 for s in self.rules
                 if s.phase is Phase.ACTING and s.rule.bytes_per_second is not None
             ]
-            steps.append(Pass(data, self.delay, min(rates, default=None)))
+            steps.append(Forward(data, self.delay, min(rates, default=None)))
 
     def _note(self, standing: Standing, detail: str) -> None:
         self.trace.append(
-            Choice(self.way, standing.number, standing.rule.act, self.byte, self.line, detail)
+            TraceEntry(self.way, standing.number, standing.rule.act, self.byte, self.line, detail)
         )
 
 
@@ -293,12 +291,12 @@
     out: list[Step] = []
     for step in steps:
         last = out[-1] if out else None
-        if isinstance(step, Pass) and isinstance(last, Pass) and _alike(step, last):
-            out[-1] = Pass(last.data + step.data, last.delay, last.rate)
+        if isinstance(step, Forward) and isinstance(last, Forward) and _alike(step, last):
+            out[-1] = Forward(last.data + step.data, last.delay, last.rate)
         else:
             out.append(step)
     return out
 
 
-def _alike(one: Pass, other: Pass) -> bool:
+def _alike(one: Forward, other: Forward) -> bool:
     return (one.delay, one.rate) == (other.delay, other.rate)
--- a/pointgw/fault_proxy/serve.py
+++ b/pointgw/fault_proxy/serve.py
@@ -10,16 +10,16 @@
 import uvloop
 
 from pointgw import validation
-from pointgw.fault_proxy.box import Address, Box
+from pointgw.fault_proxy.proxy import Address, FaultProxy
 from pointgw.fault_proxy.script import Script
 
 
-def serve_box(listen: Address, to: Address, script: str | None, seed: int, trace: str | None) -> int:
+def serve_fault_proxy(listen: Address, to: Address, script: str | None, seed: int, trace: str | None) -> int:
     """Runs until SIGINT or SIGTERM, then writes the trace. Raises `validation.InvalidFileError`."""
     rules = validation.read(Path(script), Script) if script else Script()
 
     async def serve() -> int:
-        box = Box(rules, seed, to, listen)
+        box = FaultProxy(rules, seed, to, listen)
         try:
             host, port = await box.start()
         except OSError as fault:
@@ -33,7 +33,7 @@
         await box.stop()
         if trace is not None:
             Path(trace).write_text(box.trace())
-        print(f"{box.figures.connections} connections, {box.figures.traced} choices", flush=True)
+        print(f"{box.stats.connections} connections, {box.stats.traced_lines} choices", flush=True)
         return 0
 
     return uvloop.run(serve())
--- a/pointgw/net/core/reducer.py
+++ b/pointgw/net/core/reducer.py
@@ -124,7 +124,7 @@
             self._list(start.known_list, True, now)
         else:
             self.index = None  # the whole list is asked for: who else counts its versions is not known
-            self._list(ServerList(0, True, recalled.lines, recalled.addresses), True, now)
+            self._list(ServerList(0, True, recalled.entries, recalled.addresses), True, now)
 
     def dispatch(self, event: Event, now: float) -> list[fx.Effect]:
         """The one entry: changes the state and gives the effects, in order."""
--- a/pointgw/net/run/snapshots.py
+++ b/pointgw/net/run/snapshots.py
@@ -19,7 +19,7 @@
 from pointgw.net.wire.start_up import StartUpSettings
 from pointgw.policy import Balancer
 from pointgw.state import records, snapshot_writer
-from pointgw.state.restore import MembershipView, RestoredState, records_of_list, restore
+from pointgw.state.restore import MembershipView, RestoredState, records_from_list, restore
 from pointgw.state.snapshot_store import SnapshotStore
 
 _log = logging.getLogger("pointgw.state")
@@ -43,11 +43,11 @@
         if held is None:
             return None
         store, found = held
-        mark = records.fingerprint(start.names.zones, start.profiles)
-        known = records_of_list(start.known_list.servers, start.known_list.addresses)
+        mark = records.installation_fingerprint(start.names.zones, start.profiles)
+        known = records_from_list(start.known_list.servers, start.known_list.addresses)
         now, recalled, run = time.time(), None, machine_run(boot)
         if found.snapshot is None:
-            _log.info("nothing remembered", extra={"fields": {"folder": folder, "lost": len(found.lost)}})
+            _log.info("nothing remembered", extra={"fields": {"folder": folder, "lost": len(found.damaged)}})
         else:
             recalled = restore(found.snapshot, known, mark, now, run)
             if recalled is None:
@@ -55,9 +55,13 @@
                 why = "it is another installation's: its zones or profiles differ"
                 _log.error("left untouched", extra={"fields": {"folder": folder, "why": why}})
                 return None
-            told: dict[str, object] = {"folder": folder, "age": recalled.age, "clean": recalled.clean}
-            told["warm"] = len(recalled.warm)
-            _log.info("remembered", extra={"fields": told | recalled.counts})
+            told: dict[str, object] = {
+                "folder": folder,
+                "age": recalled.age_seconds,
+                "clean": recalled.clean_stop,
+            }
+            told["warm"] = len(recalled.same_process)
+            _log.info("remembered", extra={"fields": told | recalled.status_counts})
         roster = (
             recalled.membership
             if recalled is not None
@@ -76,8 +80,9 @@
             discovery = reducer.discovery  # the one in force: a reload may have turned
             return records.Snapshot(
                 self.fingerprint, wall, reducer.index, f"{discovery[0]}:{discovery[1]}", clean,
-                in_wall_time(self.membership.kept(now), stepped), health(reducer.balancer, now, stepped),
-                figures(reducer.balancer), self.membership.lives, self.run,
+                in_wall_time(self.membership.snapshot_records(now), stepped),
+                health(reducer.balancer, now, stepped),
+                figures(reducer.balancer), self.membership.lifetimes, self.run,
             )  # fmt: skip
 
         self.writer = snapshot_writer.SnapshotWriter(
@@ -86,7 +91,7 @@
 
     async def stop(self) -> None:
         if self.writer is not None:
-            await self.writer.stop(clean=True)
+            await self.writer.stop(clean_stop=True)
 
 
 def machine_run(path: str) -> str:
@@ -104,7 +109,9 @@
         return kept
     return tuple(
         msgspec.structs.replace(
-            fact, at=fact.at and fact.at + stepped, seen=fact.seen and fact.seen + stepped
+            fact,
+            confirmed_at=fact.confirmed_at and fact.confirmed_at + stepped,
+            seen_at=fact.seen_at and fact.seen_at + stepped,
         )
         for fact in kept
     )
@@ -134,7 +141,7 @@
 
 def restore_learned_state(balancer: Balancer, recalled: RestoredState, now: float) -> None:
     """Hands the decisions what was remembered, after the list."""
-    for name in sorted(recalled.warm):
+    for name in sorted(recalled.same_process):
         if name in balancer.servers:
             balancer.confirm_process(balancer.servers[name])
     for name in sorted(recalled.stale):
@@ -142,17 +149,17 @@
             balancer.mark_stale(balancer.servers[name])
     for one in recalled.health:
         ep = balancer.servers.get(one.name)
-        if ep is not None and ep.started_at == one.started and not ep.stale:
+        if ep is not None and ep.started_at == one.started_at and not ep.stale:
             # No suspension is longer than the longest that is given; a clock may have jumped.
-            ep.recent_failures = min(max(0, one.strikes), 4)
-            ep.ejected_until = min(one.out_until, now + balancer.attempt_timeout * 64 * 1.2)
-            ep.slow_start_budget, ep.budget_updated_at = min(ep.slow_start_budget, one.budget), now
-    learned = recalled.figures
+            ep.recent_failures = min(max(0, one.recent_failures), 4)
+            ep.ejected_until = min(one.ejected_until, now + balancer.attempt_timeout * 64 * 1.2)
+            ep.slow_start_budget, ep.budget_updated_at = min(ep.slow_start_budget, one.slow_start_budget), now
+    learned = recalled.learned
     if learned is not None and all(
-        math.isfinite(value) and value > 0 for value in (learned.load_unit, learned.rate)
+        math.isfinite(value) and value > 0 for value in (learned.load_per_tunnel, learned.arrival_rate)
     ):
-        balancer.load_per_tunnel, balancer.arrival_rate = learned.load_unit, learned.rate
+        balancer.load_per_tunnel, balancer.arrival_rate = learned.load_per_tunnel, learned.arrival_rate
         if math.isfinite(learned.c) and learned.c > 0:
             balancer.c = learned.c
-        if math.isfinite(learned.cold_gain) and learned.cold_gain >= 0:
-            balancer.slow_start_rate = learned.cold_gain
+        if math.isfinite(learned.slow_start_rate) and learned.slow_start_rate >= 0:
+            balancer.slow_start_rate = learned.slow_start_rate
--- a/pointgw/state/confidence.py
+++ b/pointgw/state/confidence.py
@@ -19,45 +19,45 @@
 AHEAD = 1.0  # seconds that clocks may differ; an entry from further ahead has no age
 
 
-class RecordStanding(Enum):
+class RecordStatus(Enum):
     """How an entry is used."""
 
     TRUSTED = "trusted"
-    DOUBTED = "doubted"
-    REFUSED = "refused"
+    STALE = "doubted"
+    INACTIVE = "refused"
 
 
-def life(lives: ServerLifetimes) -> float:
+def expected_lifetime(lives: ServerLifetimes) -> float:
     """The usual life of a server, in seconds: its own history, mixed with `LIFE` while that is short."""
-    known = min(lives.ended, SEEN_ENDS)
-    seen = lives.total / lives.ended if lives.ended else 0.0
+    known = min(lives.ended_count, SEEN_ENDS)
+    seen = lives.total_seconds / lives.ended_count if lives.ended_count else 0.0
     return max(FRESH, (known * seen + (SEEN_ENDS - known) * LIFE) / SEEN_ENDS)
 
 
-def trust(fact: ServerRecord, lives: ServerLifetimes, now: float) -> float:
+def confidence(fact: ServerRecord, lives: ServerLifetimes, now: float) -> float:
     """From 0 to 1."""
-    if fact.is_away:
+    if fact.is_inactive:
         return 0.0
-    age = now - max(fact.at, fact.seen if fact.seen <= now + AHEAD else 0.0)
+    age = now - max(fact.confirmed_at, fact.seen_at if fact.seen_at <= now + AHEAD else 0.0)
     if age < -AHEAD:
         return 0.0  # guards against a clock that has jumped back: its age is not known
     if age <= FRESH:
         return 1.0
-    return float(2.0 ** -((age - FRESH) / life(lives)))
+    return float(2.0 ** -((age - FRESH) / expected_lifetime(lives)))
 
 
-def standing(fact: ServerRecord, lives: ServerLifetimes, now: float) -> RecordStanding:
-    if fact.is_away:
-        return RecordStanding.REFUSED
-    return RecordStanding.TRUSTED if trust(fact, lives, now) >= SURE else RecordStanding.DOUBTED
+def record_status(fact: ServerRecord, lives: ServerLifetimes, now: float) -> RecordStatus:
+    if fact.is_inactive:
+        return RecordStatus.INACTIVE
+    return RecordStatus.TRUSTED if confidence(fact, lives, now) >= SURE else RecordStatus.STALE
 
 
-def still_warm(memory: Snapshot, fact: ServerRecord, run: str, now: float) -> bool:
+def is_same_process(memory: Snapshot, fact: ServerRecord, run: str, now: float) -> bool:
     """Whether a server may be taken for the process it was, and not for one started since.
 
     A name outlives an outage, warmth does not. It is believed where the memory is as fresh as a restart
     leaves it and this machine has run on: then the balancer alone was away. Where the machine was off, others
     may have been. A clean stop tells nothing of what came after it."""
-    age = now - memory.written
-    same = bool(run) and run == memory.run
-    return same and -AHEAD <= age <= FRESH and trust(fact, memory.lives, now) == 1.0
+    age = now - memory.written_at
+    same = bool(run) and run == memory.boot_id
+    return same and -AHEAD <= age <= FRESH and confidence(fact, memory.lifetimes, now) == 1.0
--- a/pointgw/state/merge.py
+++ b/pointgw/state/merge.py
@@ -14,27 +14,27 @@
 RANK = {"active": 0, "leaving": 1, "left": 2}
 
 
-def better(one: ServerRecord, other: ServerRecord) -> ServerRecord:
+def join_records(one: ServerRecord, other: ServerRecord) -> ServerRecord:
     """The fact that holds of two about the same server."""
     won = max(one, other, key=_key)
-    seen = max(one.seen, other.seen) if one.started == other.started else won.seen
+    seen = max(one.seen_at, other.seen_at) if one.started_at == other.started_at else won.seen_at
     return _with_seen(won, seen)
 
 
 def _key(fact: ServerRecord) -> tuple[object, ...]:
     """The rest of the fields only decide where all else is equal, so that the order never does."""
     return (
-        fact.started, RANK[fact.state], fact.at, fact.host, fact.port, fact.zone, fact.kind, fact.cell,
-        fact.weight,
+        fact.started_at, RANK[fact.state], fact.confirmed_at, fact.host, fact.port, fact.zone, fact.kind,
+        fact.cell, fact.weight,
     )  # fmt: skip
 
 
 def _with_seen(fact: ServerRecord, seen: float) -> ServerRecord:
-    if fact.seen == seen:
+    if fact.seen_at == seen:
         return fact
     return ServerRecord(
-        fact.name, fact.state, fact.started, fact.at, fact.host, fact.port, fact.zone, fact.kind, fact.cell,
-        fact.weight, seen,
+        fact.name, fact.state, fact.started_at, fact.confirmed_at, fact.host, fact.port, fact.zone, fact.kind,
+        fact.cell, fact.weight, seen,
     )  # fmt: skip
 
 
@@ -44,5 +44,5 @@
     for source in sources:
         for fact in source:
             known = found.get(fact.name)
-            found[fact.name] = fact if known is None else better(known, fact)
+            found[fact.name] = fact if known is None else join_records(known, fact)
     return dict(sorted(found.items()))
--- a/pointgw/state/snapshot_store.py
+++ b/pointgw/state/snapshot_store.py
@@ -32,14 +32,14 @@
 
     snapshot: Snapshot | None
     generation: int  # 0: none
-    lost: tuple[str, ...]  # generations that are damaged, each with why
+    damaged: tuple[str, ...]  # generations that are damaged, each with why
 
 
 class SnapshotStore:
     """One folder. `claim` before `save`; `load` needs no claim."""
 
     def __init__(self, folder: str, step: Callable[[str], None] = lambda name: None) -> None:
-        self.folder, self.step = folder, step
+        self.folder, self.before_step = folder, step
         self.generation = 0
         self.owner = -1
 
@@ -93,27 +93,27 @@
         try:
             with suppress(FileNotFoundError):
                 os.unlink(ASIDE, dir_fd=place)
-            self.step("open")
+            self.before_step("open")
             flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC
             file = os.open(ASIDE, flags, MODE, dir_fd=place)
             try:
                 at = 0
                 while at < len(data):
-                    self.step("write")
+                    self.before_step("write")
                     at += os.write(file, data[at : at + 65536])
-                self.step("fsync")
+                self.before_step("fsync")
                 os.fsync(file)
             finally:
                 os.close(file)
             number = max(self.generation, *self._numbers(place), 0) + 1
-            self.step("rename")
+            self.before_step("rename")
             os.rename(ASIDE, f"{PREFIX}{number}", src_dir_fd=place, dst_dir_fd=place)
             self.generation = number
-            self.step("fsync folder")
+            self.before_step("fsync folder")
             os.fsync(place)
             for old in self._numbers(place):
                 if old <= number - KEPT:
-                    self.step("unlink")
+                    self.before_step("unlink")
                     with suppress(OSError):  # what was saved is durable; the next save tries again
                         os.unlink(f"{PREFIX}{old}", dir_fd=place)
         finally:
--- a/pointgw/state/snapshot_writer.py
+++ b/pointgw/state/snapshot_writer.py
@@ -65,12 +65,12 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class WriterStats:
     """What keeping the memory has cost."""
 
-    written: int = 0  # generations
-    size: int = 0  # bytes
-    failed: int = 0
+    write_count: int = 0  # generations
+    bytes_written: int = 0  # bytes
+    failure_count: int = 0
 
 
 class SnapshotWriter:
@@ -87,9 +87,9 @@
         news: Callable[[], int],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self.store, self.take, self.news, self.loop = store, take, news, loop
+        self.store, self.take_snapshot, self.change_count, self.loop = store, take, news, loop
         self.writer = WriterThread(loop)
-        self.figures = Figures()
+        self.stats = WriterStats()
         self.told = -1  # the news that the latest memory holds
         self.next_news = self.next_figures = loop.time()
         self.out: asyncio.Future[int] | None = None
@@ -99,17 +99,19 @@
     def _look(self) -> None:
         self.timer = self.loop.call_later(LOOK, self._look)  # first: a fault below must not end the chain
         now = self.loop.time()
-        due = now >= self.next_figures or (self.news() != self.told and now >= self.next_news)
+        due = now >= self.next_figures or (self.change_count() != self.told and now >= self.next_news)
         if due and self.out is None:
             self._write(False)
 
     def _write(self, clean: bool) -> asyncio.Future[int]:
         now = self.loop.time()
-        news, memory = self.news(), self.take(clean)
+        news, memory = self.change_count(), self.take_snapshot(clean)
         self.out = self.writer.submit(lambda: self._save(memory))
         self.told = news
         self.out.add_done_callback(self._written)
-        wait = max(NEWS_EVERY - 2 * LOOK, self.figures.size / max(1, self.figures.written) / BYTES_A_SECOND)
+        wait = max(
+            NEWS_EVERY - 2 * LOOK, self.stats.bytes_written / max(1, self.stats.write_count) / BYTES_A_SECOND
+        )
         self.next_news, self.next_figures = now + wait, now + max(wait, FIGURES_EVERY - LOOK)
         return self.out
 
@@ -123,27 +125,27 @@
             return
         fault = out.exception()
         if fault is None:
-            self.figures.written += 1
-            self.figures.size += out.result()
+            self.stats.write_count += 1
+            self.stats.bytes_written += out.result()
             if self.lost:
                 self.lost = False
                 _log.info("written again", extra={"fields": {"folder": self.store.folder}})
             return
-        self.figures.failed += 1
+        self.stats.failure_count += 1
         self.told = -1  # news that is not durable is news still
         if not self.lost:
             self.lost = True
             why = f"{type(fault).__name__} {fault}"
             _log.error("not written", extra={"fields": {"folder": self.store.folder, "why": why}})
 
-    async def stop(self, clean: bool) -> None:
+    async def stop(self, clean_stop: bool) -> None:
         """The last write, if the disk takes it in time; the balancer doesn't wait longer."""
         self.timer.cancel()
         try:
             async with asyncio.timeout(LAST):
                 if self.out is not None:
                     await asyncio.shield(self.out)
-                await asyncio.shield(self._write(clean))
+                await asyncio.shield(self._write(clean_stop))
         except (TimeoutError, OSError) as fault:
             told = {"folder": self.store.folder, "why": f"{type(fault).__name__} {fault}".strip()}
             _log.warning("last write late", extra={"fields": told})
@@ -169,6 +171,6 @@
         why = f"{type(fault).__name__} {fault}"
         _log.error("not usable", extra={"fields": {"folder": folder, "why": why}})
         return None
-    for what in found.lost:
+    for what in found.damaged:
         _log.error("lost", extra={"fields": {"folder": folder, "what": what}})
     return store, found
--- a/pointgw/testbed/links.py
+++ b/pointgw/testbed/links.py
@@ -6,23 +6,23 @@
 
 import msgspec
 
-from pointgw.fault_proxy.box import Box
+from pointgw.fault_proxy.proxy import FaultProxy
 from pointgw.fault_proxy.script import Script
 from pointgw.testbed import child
 from pointgw.testbed.records import Writer
 
 
 async def part(told: child.Told, writer: Writer) -> child.Take:
-    boxes: dict[str, Box] = {}
+    boxes: dict[str, FaultProxy] = {}
     for name, listen, to in told["links"]:
-        box = Box(Script(), int(told["seed"]), tuple(to), tuple(listen))
+        box = FaultProxy(Script(), int(told["seed"]), tuple(to), tuple(listen))
         await box.start()
         boxes[name] = box
 
     def take(command: child.Told) -> None:
         script = msgspec.convert({"rule": command["rule"]}, Script)
         for name in command["names"]:
-            boxes[name].turn(script)
+            boxes[name].replace_script(script)
 
     return take
 
--- a/tests/fleet/test_cold_untold.py
+++ b/tests/fleet/test_cold_untold.py
@@ -33,9 +33,11 @@
     store = SnapshotStore(str(folder))
     found = store.load()
     if found.snapshot is not None:
-        told = found.snapshot.facts
-        facts = tuple(msgspec.structs.replace(fact, at=fact.at - WEEK, seen=0.0) for fact in told)
-        old = msgspec.structs.replace(found.snapshot, written=time.time() - WEEK, facts=facts)
+        told = found.snapshot.servers
+        facts = tuple(
+            msgspec.structs.replace(fact, confirmed_at=fact.confirmed_at - WEEK, seen_at=0.0) for fact in told
+        )
+        old = msgspec.structs.replace(found.snapshot, written_at=time.time() - WEEK, servers=facts)
         store.save(snapshot_format.encode(old))
 
 
--- a/tests/test_faultbox.py
+++ b/tests/test_fault_proxy.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from pointgw import validation
-from pointgw.fault_proxy.box import FULL, Box
-from pointgw.fault_proxy.schedule import Cut, HalfClose, Pass, Schedule, Stall, Step, chosen
+from pointgw.fault_proxy.proxy import FULL, FaultProxy
+from pointgw.fault_proxy.schedule import Close, Forward, HalfClose, Schedule, Stall, Step, select_rules
 from pointgw.fault_proxy.script import Rule, Script
 
 LINES = b"OPEN 1 k c=chat,d=1500\r\nhello\r\nBYE inflight=1\r\n"
@@ -36,7 +36,7 @@
 
 
 def passed(steps: list[Step]) -> bytes:
-    return b"".join(step.data for step in steps if isinstance(step, Pass))
+    return b"".join(step.data for step in steps if isinstance(step, Forward))
 
 
 @pytest.mark.parametrize(
@@ -45,8 +45,8 @@
         (Rule(act="drop", after_lines=1), LINES.replace(b"hello\r\n", b""), HalfClose()),
         (Rule(act="double", after_lines=1), LINES.replace(b"hello\r\n", b"hello\r\nhello\r\n"), HalfClose()),
         (Rule(act="replace", find="BYE", put="MOVE"), LINES.replace(b"BYE", b"MOVE"), HalfClose()),
-        (Rule(act="end", after_bytes=10), LINES[:10], Cut(False)),
-        (Rule(act="reset", after_lines=2), LINES[:31], Cut(True)),
+        (Rule(act="end", after_bytes=10), LINES[:10], Close(False)),
+        (Rule(act="reset", after_lines=2), LINES[:31], Close(True)),
         (Rule(act="half-close", after_bytes=27), LINES[:27], HalfClose()),
         (Rule(act="drop", way="down"), LINES, HalfClose()),
     ],
@@ -58,9 +58,7 @@
 
 
 @settings(max_examples=150, deadline=None)
-@given(
-    st.lists(st.binary(min_size=0, max_size=30), max_size=12), st.integers(0, 2**32), st.integers(0, 9)
-)
+@given(st.lists(st.binary(min_size=0, max_size=30), max_size=12), st.integers(0, 2**32), st.integers(0, 9))
 def test_how_bytes_are_cut_into_reads_decides_nothing(lines: list[bytes], cuts: int, seed: int) -> None:
     data = b"\r\n".join([*lines, b"UP 1", b""])
     whole = Schedule(ALL_ACTS, list(range(7)), seed, "c", "down")
@@ -79,11 +77,11 @@
 def test_a_delay_grows_line_by_line_and_time_alone_can_cut() -> None:
     made = schedule(Rule(act="delay", seconds=0.1, grow=0.2))
     steps = made.feed(b"a\nb\nc\n", 0.0)
-    assert [round(s.delay, 3) for s in steps if isinstance(s, Pass)] == [0.1, 0.3, 0.5]
+    assert [round(s.delay, 3) for s in steps if isinstance(s, Forward)] == [0.1, 0.3, 0.5]
     made = schedule(Rule(act="end", after_seconds=2.0), Rule(act="stall", after_seconds=1.0, seconds=5.0))
     assert made.due() == 1.0 and made.at(0.5) == []
     assert made.at(1.2) == [Stall(5.0)] and made.due() == 2.0
-    assert made.at(2.0) == [Cut(False)]
+    assert made.at(2.0) == [Close(False)]
 
 
 def test_a_long_line_is_held_up_to_a_bound_only() -> None:
@@ -94,11 +92,11 @@
 
 def test_chance_takes_its_share_of_connections_and_the_same_ones_again() -> None:
     script = Script((Rule(act="refuse", share=0.3), Rule(act="reset", first=10, every=5)))
-    taken = [chosen(script, 7, str(i), i) for i in range(1000)]
+    taken = [select_rules(script, 7, str(i), i) for i in range(1000)]
     assert 250 < sum(0 in rules for rules in taken) < 350
     assert [i for i, rules in enumerate(taken) if 1 in rules][:3] == [10, 15, 20]
-    assert taken == [chosen(script, 7, str(i), i) for i in range(1000)]
-    assert taken != [chosen(script, 8, str(i), i) for i in range(1000)]
+    assert taken == [select_rules(script, 7, str(i), i) for i in range(1000)]
+    assert taken != [select_rules(script, 8, str(i), i) for i in range(1000)]
 
 
 @pytest.mark.parametrize(
@@ -121,13 +119,13 @@
 
 # On sockets.
 
-Scene = Callable[[Box, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+Scene = Callable[[FaultProxy, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def through(script: Script, scene: Scene, far: Callable[..., Awaitable[None]], seed: int = 1) -> Box:
-    async def main() -> Box:
+def through(script: Script, scene: Scene, far: Callable[..., Awaitable[None]], seed: int = 1) -> FaultProxy:
+    async def main() -> FaultProxy:
         server = await asyncio.start_server(far, "127.0.0.1", 0)
-        async with Box(script, seed, server.sockets[0].getsockname()[:2]) as box, asyncio.timeout(15):
+        async with FaultProxy(script, seed, server.sockets[0].getsockname()[:2]) as box, asyncio.timeout(15):
             reader, writer = await asyncio.open_connection(*box.address)
             await scene(box, reader, writer)
             writer.close()
@@ -150,7 +148,7 @@
 
 
 def test_without_rules_all_passes_and_a_half_close_is_one() -> None:
-    async def scene(box: Box, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         data = Random(1).randbytes(2_000_000)
         asking = asyncio.create_task(reader.readexactly(len(data)))
         writer.write(data)
@@ -162,7 +160,7 @@
 
 
 def test_a_half_close_in_the_middle_of_a_line_lets_the_other_way_go_on() -> None:
-    async def scene(box: Box, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"whole\r\nhalf of it\r\n")
         assert await reader.read(-1) == b"whole\r\nhalover\r\n"
 
@@ -180,7 +178,7 @@
             ends.append(fault)
         writer.close()
 
-    async def scene(box: Box, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"x" * 5000)
         with pytest.raises(ConnectionResetError):
             await reader.readexactly(1)
@@ -191,7 +189,7 @@
 
 
 def test_a_delay_that_grows_outlasts_a_client_that_gives_up() -> None:
-    async def scene(box: Box, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
         spans = []
         for _ in range(4):
@@ -218,7 +216,7 @@
 
     sent: list[bool] = []
 
-    async def scene(box: Box, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.5)
         (link,) = box.connections
         assert link.near.transport is not None
@@ -229,7 +227,7 @@
 
 
 def test_a_rate_is_held_and_a_refused_connection_is_reset() -> None:
-    async def scene(box: Box, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         began = asyncio.get_running_loop().time()
         writer.write(b"x" * 5000)
         await reader.readexactly(5000)
@@ -253,7 +251,7 @@
     )
 
     def once(order: int) -> str:
-        async def one(box: Box, number: int) -> None:
+        async def one(box: FaultProxy, number: int) -> None:
             with suppress(ConnectionError):
                 reader, writer = await asyncio.open_connection(*box.address)
                 for line in range(6):
@@ -263,7 +261,7 @@
                 await reader.read(-1)
                 writer.close()
 
-        async def scene(box: Box, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             numbers = list(range(50))
             Random(order).shuffle(numbers)
             await asyncio.gather(*(one(box, number) for number in numbers))
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from pointgw.__main__ import main
-from pointgw.fault_proxy.box import Box
+from pointgw.fault_proxy.proxy import FaultProxy
 from pointgw.fault_proxy.script import Rule, Script
 from pointgw.net.core.effects import Effect, SetTimer
 from pointgw.net.core.events import Event, TimerDue
@@ -111,7 +111,9 @@
         listen = free_port()
         ports = [server.sockets[0].getsockname()[1] for server in (servers, discovery)]
         door = ("127.0.0.1", listen)
-        boxes = [Box(way, 1, ("127.0.0.1", ports[0])), Box(way, 1, door)] if way is not None else []
+        boxes = (
+            [FaultProxy(way, 1, ("127.0.0.1", ports[0])), FaultProxy(way, 1, door)] if way is not None else []
+        )
         if boxes:
             ports[0], door = (await boxes[0].start())[1], await boxes[1].start()
         told_at_start = parse_start_up_file(told(ports[0], ports[1], listen))
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -31,9 +31,16 @@
 from pointgw.net.wire.server_list import ServerList
 from pointgw.net.wire.start_up import StartUpSettings, parse_start_up_file
 from pointgw.state import snapshot_format
-from pointgw.state.confidence import RecordStanding, life, standing, trust
-from pointgw.state.merge import better, merge
-from pointgw.state.records import LearnedFigures, ServerHealth, ServerLifetimes, ServerRecord, Snapshot, State
+from pointgw.state.confidence import RecordStatus, confidence, expected_lifetime, record_status
+from pointgw.state.merge import join_records, merge
+from pointgw.state.records import (
+    LearnedFigures,
+    ServerHealth,
+    ServerLifetimes,
+    ServerRecord,
+    ServerState,
+    Snapshot,
+)
 from pointgw.state.restore import MembershipView, restore, rows
 from pointgw.state.snapshot_store import FolderInUseError, SnapshotStore
 from pointgw.state.snapshot_writer import SnapshotWriter
@@ -42,7 +49,7 @@
 
 
 def fact(
-    name: str = "s-1", state: State = "active", started: float = 10.0, at: float = NOW, **more: Any
+    name: str = "s-1", state: ServerState = "active", started: float = 10.0, at: float = NOW, **more: Any
 ) -> ServerRecord:
     return ServerRecord(name, state, started, at, more.pop("host", "127.0.0.1"), more.pop("port", 9), **more)
 
@@ -57,7 +64,7 @@
 def test_a_memory_is_the_same_after_bytes() -> None:
     told = memory(
         fact(), fact("s-2", "left"), health=(ServerHealth("s-1", 10.0, 2, NOW + 3, 0.5, NOW),),
-        figures=LearnedFigures(0.5, 0.01, 3.0, 100.0, 4, 0.2), lives=ServerLifetimes(3, 900.0),
+        learned=LearnedFigures(0.5, 0.01, 3.0, 100.0, 4, 0.2), lifetimes=ServerLifetimes(3, 900.0),
     )  # fmt: skip
     assert snapshot_format.decode(snapshot_format.encode(told)) == told
 
@@ -111,7 +118,7 @@
                 raise Crash(name)
             left -= 1
 
-        first.step = step
+        first.before_step = step
         try:
             first.save(snapshot_format.encode(new))
             crashed = ""
@@ -119,7 +126,7 @@
             crashed = str(crash)
         first.release()
         found = SnapshotStore(folder).load()
-        assert found.snapshot in (old, new) and not found.lost
+        assert found.snapshot in (old, new) and not found.damaged
         assert (found.snapshot == new) is (crashed in ("", "fsync folder", "unlink"))
         # The next process goes on from there.
         again = SnapshotStore(folder)
@@ -145,7 +152,9 @@
     newest = tmp_path / "s" / f"state.{store.generation}"
     newest.write_bytes(newest.read_bytes()[:-3] if harm is None else harm)
     found = store.load()
-    assert found.snapshot == memory(fact("two")) and len(found.lost) == 1 and newest.name in found.lost[0]
+    assert (
+        found.snapshot == memory(fact("two")) and len(found.damaged) == 1 and newest.name in found.damaged[0]
+    )
     store.save(snapshot_format.encode(memory(fact("four"))))
     assert SnapshotStore(str(tmp_path / "s")).load().snapshot == memory(fact("four"))
     assert stat.S_IMODE(newest.stat().st_mode) == 0o600 if newest.exists() else True
@@ -164,7 +173,7 @@
     target.write_bytes(snapshot_format.encode(memory(fact("planted"))))
     (tmp_path / "s" / "state.9").symlink_to(target)
     found = store.load()
-    assert found.snapshot == memory() and len(found.lost) == 1
+    assert found.snapshot == memory() and len(found.damaged) == 1
 
 
 def test_a_second_process_is_refused_by_name_of_the_first(tmp_path: Path) -> None:
@@ -204,7 +213,9 @@
         store = SnapshotStore(str(folder), step)
         store.claim("n0")
         told = memory(*(fact(f"s-{i}") for i in range(facts)))
-        keeper = SnapshotWriter(store, lambda clean: msgspec.structs.replace(told, clean=clean), news, loop)
+        keeper = SnapshotWriter(
+            store, lambda clean: msgspec.structs.replace(told, clean_stop=clean), news, loop
+        )
 
         async def look() -> None:
             while True:
@@ -231,7 +242,7 @@
 
     began = time.monotonic()
     keeper, lags = keeping(tmp_path, step, scene)
-    assert max(lags) < 0.3 and keeper.figures.written == 0
+    assert max(lags) < 0.3 and keeper.stats.write_count == 0
     assert time.monotonic() - began < 2.5
 
 
@@ -257,7 +268,7 @@
     said = [record.getMessage() for record in caplog.records if record.name == "pointgw.state"]
     # On a machine whose disk is slow just then the last write may be late, which is said too.
     assert said[:2] == ["not written", "written again"] and set(said[2:]) <= {"last write late"}
-    assert keeper.figures.failed >= 2
+    assert keeper.stats.failure_count >= 2
     assert SnapshotStore(str(tmp_path)).load().snapshot is not None
 
 
@@ -266,12 +277,12 @@
 
     async def scene(keeper: SnapshotWriter) -> None:
         await asyncio.sleep(0.6)
-        assert keeper.figures.written == 1
+        assert keeper.stats.write_count == 1
         shutil.rmtree(tmp_path / "s")
         await asyncio.sleep(1.5)
 
     keeper, _ = keeping(tmp_path / "s", lambda name: None, scene, lambda: next(count))
-    assert keeper.figures.failed >= 1
+    assert keeper.stats.failure_count >= 1
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == ["not written"]
 
 
@@ -282,9 +293,9 @@
         await asyncio.sleep(2.6)
 
     keeper, _ = keeping(tmp_path, lambda name: None, scene, lambda: next(count))
-    assert 2 <= keeper.figures.written <= 6
+    assert 2 <= keeper.stats.write_count <= 6
     found = SnapshotStore(str(tmp_path)).load().snapshot
-    assert found is not None and found.clean
+    assert found is not None and found.clean_stop
 
 
 # Trust.
@@ -292,29 +303,31 @@
 
 @pytest.mark.parametrize(
     ("age", "how"),
-    [(0.0, RecordStanding.TRUSTED), (10.0, RecordStanding.TRUSTED), (3600.0, RecordStanding.TRUSTED),
-     (2 * 86400.0, RecordStanding.DOUBTED), (7 * 86400.0, RecordStanding.DOUBTED),
-     (-3600.0, RecordStanding.DOUBTED)],
+    [(0.0, RecordStatus.TRUSTED), (10.0, RecordStatus.TRUSTED), (3600.0, RecordStatus.TRUSTED),
+     (2 * 86400.0, RecordStatus.STALE), (7 * 86400.0, RecordStatus.STALE),
+     (-3600.0, RecordStatus.STALE)],
 )  # fmt: skip
-def test_trust_falls_with_age_and_the_future_is_no_age(age: float, how: RecordStanding) -> None:
-    assert standing(fact(at=NOW - age), ServerLifetimes(), NOW) is how
+def test_trust_falls_with_age_and_the_future_is_no_age(age: float, how: RecordStatus) -> None:
+    assert record_status(fact(at=NOW - age), ServerLifetimes(), NOW) is how
 
 
 def test_a_roster_whose_servers_live_short_is_doubted_sooner() -> None:
     short = ServerLifetimes(100, 100 * 600.0)
     assert (
-        life(short) == 600.0
-        and life(ServerLifetimes()) == 86400.0
-        and life(ServerLifetimes(4, 0.0)) == 43200.0
+        expected_lifetime(short) == 600.0
+        and expected_lifetime(ServerLifetimes()) == 86400.0
+        and expected_lifetime(ServerLifetimes(4, 0.0)) == 43200.0
     )
-    assert standing(fact(at=NOW - 3600.0), short, NOW) is RecordStanding.DOUBTED
-    assert standing(fact(at=NOW - 10.0), short, NOW) is RecordStanding.TRUSTED
-    assert trust(fact(at=NOW - 3600.0, seen=NOW - 5.0), short, NOW) == 1.0  # own traffic has seen it since
+    assert record_status(fact(at=NOW - 3600.0), short, NOW) is RecordStatus.STALE
+    assert record_status(fact(at=NOW - 10.0), short, NOW) is RecordStatus.TRUSTED
+    assert (
+        confidence(fact(at=NOW - 3600.0, seen_at=NOW - 5.0), short, NOW) == 1.0
+    )  # own traffic has seen it since
 
 
 def test_what_was_told_away_has_none_whatever_its_age() -> None:
     for state in ("leaving", "left"):
-        assert standing(fact(state=state, at=NOW), ServerLifetimes(), NOW) is RecordStanding.REFUSED
+        assert record_status(fact(state=state, at=NOW), ServerLifetimes(), NOW) is RecordStatus.INACTIVE
 
 
 # Merging.
@@ -323,19 +336,19 @@
     ServerRecord,
     name=st.sampled_from(["a", "b", "c"]),
     state=st.sampled_from(["active", "leaving", "left"]),
-    started=st.sampled_from([0.0, 1.0, 2.0]),
-    at=st.sampled_from([5.0, 6.0, 7.0]),
+    started_at=st.sampled_from([0.0, 1.0, 2.0]),
+    confirmed_at=st.sampled_from([5.0, 6.0, 7.0]),
     host=st.sampled_from(["127.0.0.1", "127.0.0.2"]),
     port=st.sampled_from([1, 2]),
-    seen=st.sampled_from([0.0, 8.0]),
+    seen_at=st.sampled_from([0.0, 8.0]),
 )
 
 
 def oracle(facts: list[ServerRecord], name: str) -> tuple[float, bool]:
     """The latest process that was told of, and whether anybody told it away."""
     own = [f for f in facts if f.name == name]
-    latest = max(f.started for f in own)
-    return latest, any(f.is_away for f in own if f.started == latest)
+    latest = max(f.started_at for f in own)
+    return latest, any(f.is_inactive for f in own if f.started_at == latest)
 
 
 @settings(max_examples=300, deadline=None)
@@ -349,14 +362,14 @@
     whole = merge(facts)
     assert whole == merge(mixed) == merge(mixed[:cut], mixed[cut:]) == merge(mixed, facts)
     for name, won in whole.items():
-        assert (won.started, won.is_away) == oracle(facts, name)
+        assert (won.started_at, won.is_inactive) == oracle(facts, name)
 
 
 @given(facts_of_three, facts_of_three, facts_of_three)
 def test_the_better_of_facts_is_a_join(one: ServerRecord, two: ServerRecord, three: ServerRecord) -> None:
     one, two, three = (msgspec.structs.replace(f, name="a") for f in (one, two, three))
-    assert better(one, one) == one and better(one, two) == better(two, one)
-    assert better(better(one, two), three) == better(one, better(two, three))
+    assert join_records(one, one) == one and join_records(one, two) == join_records(two, one)
+    assert join_records(join_records(one, two), three) == join_records(one, join_records(two, three))
 
 
 # What a balancer makes of it.
@@ -397,7 +410,7 @@
         assert mark is not None
         told = memory(*facts, written=now if written is None else written)
         mark.store.save(
-            snapshot_format.encode(msgspec.structs.replace(told, fingerprint=mark.fingerprint, run=run))
+            snapshot_format.encode(msgspec.structs.replace(told, fingerprint=mark.fingerprint, boot_id=run))
         )
         mark.store.release()
     made = SnapshotRunner.begin(str(folder), started(), str(boot))
@@ -427,7 +440,7 @@
     away = fact("s-1", "leaving", at=now - 60.0, port=9001)
     sure = [fact(f"s-{i}", at=now, port=9000 + i) for i in (0, 2)]
     reducer, made = remembering(tmp_path, away, *sure)
-    assert made.restored is not None and made.restored.counts == {"trusted": 2, "refused": 1}
+    assert made.restored is not None and made.restored.status_counts == {"trusted": 2, "refused": 1}
     for ep in reducer.balancer.servers.values():
         ep.asked_at = now
     assert connects(reducer) == {9000, 9002}
@@ -442,7 +455,7 @@
     now = time.time()
     old = [fact(f"s-{i}", at=now - 7 * 86400.0, port=9000 + i) for i in range(3)]
     reducer, made = remembering(tmp_path, *old, written=now - 7 * 86400.0)
-    assert made.restored is not None and made.restored.counts == {"doubted": 3}
+    assert made.restored is not None and made.restored.status_counts == {"doubted": 3}
     servers = reducer.balancer.servers
     assert all(ep.stale for ep in servers.values())
     for ep in servers.values():
@@ -464,8 +477,8 @@
     balancer.c, balancer.load_per_tunnel, balancer.slow_start_rate = 0.4, 0.012, 0.3
     made.start(reducer, loop := asyncio.new_event_loop())
     assert made.writer is not None
-    made.membership.confirm(now)
-    told = made.writer.take(False)
+    made.membership.confirm_listed(now)
+    told = made.writer.take_snapshot(False)
     made.store.save(snapshot_format.encode(told))
     made.store.release()
     loop.close()
@@ -502,8 +515,11 @@
     roster = MembershipView()
     roster.apply_list([line("s-1")], [("s-1", "127.0.0.1", 9)], True, NOW)
     roster.apply_list([line("s-2", began=50.0)], [("s-2", "127.0.0.1", 9)], True, NOW + 100)
-    assert [(f.name, f.state) for f in roster.kept(NOW + 100)] == [("s-1", "left"), ("s-2", "active")]
-    assert roster.lives.ended == 1 and roster.lives.total == pytest.approx(NOW + 90)
+    assert [(f.name, f.state) for f in roster.snapshot_records(NOW + 100)] == [
+        ("s-1", "left"),
+        ("s-2", "active"),
+    ]
+    assert roster.lifetimes.ended_count == 1 and roster.lifetimes.total_seconds == pytest.approx(NOW + 90)
 
 
 def test_ten_thousand_servers_with_two_hundred_changes_a_second_stay_bounded() -> None:
@@ -516,16 +532,16 @@
         roster.apply_list([line(name, "left", 0.0) for name in changed], [], False, NOW + second)
     took = time.perf_counter() - began
     assert roster.change_count == 12_000 and took < 2.0
-    assert sum(f.is_away for f in roster.kept(NOW + 10)) == 2000
-    told = memory(*roster.kept(NOW + 10))
+    assert sum(f.is_inactive for f in roster.snapshot_records(NOW + 10)) == 2000
+    told = memory(*roster.snapshot_records(NOW + 10))
     assert len(snapshot_format.encode(told)) < 1_500_000
     # Told away without a start, each is remembered with the one that was known.
-    assert all(f.started == 10.0 for f in roster.kept(NOW + 10))
+    assert all(f.started_at == 10.0 for f in roster.snapshot_records(NOW + 10))
 
 
 def test_what_was_told_away_long_ago_is_forgotten() -> None:
     roster = MembershipView({"s-1": fact(state="left", at=NOW)})
-    assert roster.kept(NOW + 3600.0) and not roster.kept(NOW + 8 * 86400.0)
+    assert roster.snapshot_records(NOW + 3600.0) and not roster.snapshot_records(NOW + 8 * 86400.0)
 
 
 def test_the_commands_tell_age_trust_and_damage(tmp_path: Path, capfd: Any) -> None:
@@ -573,9 +589,9 @@
     )
     made.start(reducer, loop := asyncio.new_event_loop(), lambda: time.time() - behind)
     assert made.writer is not None
-    made.membership.confirm(wall - behind)
-    told = made.writer.take(False)
+    made.membership.confirm_listed(wall - behind)
+    told = made.writer.take_snapshot(False)
     loop.close()
     made.store.release()
-    assert [round(one.out_until - wall) for one in told.health] == [5]
-    assert all(abs(one.at - wall) < 2.0 for one in told.facts if one.name == "s-1")
+    assert [round(one.ejected_until - wall) for one in told.health] == [5]
+    assert all(abs(one.confirmed_at - wall) < 2.0 for one in told.servers if one.name == "s-1")
