--- a/pointgw/command/rig.py
+++ b/pointgw/command/rig.py
@@ -148,7 +148,7 @@
 
 
 def stand_in_until_told(alone: Alone) -> int:
-    log.begin("WARNING")
+    log.configure("WARNING")
     with suppress(KeyboardInterrupt):
         uvloop.run(alone.run())
     return 0
--- a/pointgw/fault_proxy/box.py
+++ b/pointgw/fault_proxy/box.py
@@ -140,7 +140,7 @@
             self.queue.append(Waiting(self.ready, piece))
         self.pending += len(step.data)
         if self.pending > FULL:
-            tcp.pause(self.source.transport)
+            tcp.pause_reading(self.source.transport)
 
     def pump(self) -> None:
         """Writes what is due."""
@@ -156,7 +156,7 @@
             self.pending -= len(piece.data)
             transport.write(piece.data)
         if self.pending <= FULL and not self.done:
-            tcp.resume(self.source.transport)
+            tcp.resume_reading(self.source.transport)
         if self.queue and not self.blocked:
             if self.timer is not None:
                 self.timer.cancel()
@@ -272,7 +272,7 @@
         if transport is not None and not transport.is_closing():
             transport.write_eof()
         if flow.source.transport is not None:
-            tcp.resume(flow.source.transport)  # what still comes is read and dropped
+            tcp.resume_reading(flow.source.transport)  # what still comes is read and dropped
         if self.up.done and self.down.done:
             self._stop(False)
 
@@ -294,7 +294,7 @@
                 lines += [choice.text(self.name) for choice in flow.schedule.trace]
         for end in (self.near, self.far):
             if end.transport is not None and reset:
-                tcp.reset(end.transport)
+                tcp.abort_with_reset(end.transport)
             elif end.transport is not None:
                 end.transport.close()
         self.box.traced(self.name, lines)
--- a/pointgw/net/run/client_connections.py
+++ b/pointgw/net/run/client_connections.py
@@ -7,90 +7,93 @@
 from typing import TYPE_CHECKING
 
 from pointgw.net.run import tcp
-from pointgw.net.run.client import ClientSide
+from pointgw.net.run.client import ClientConnection
 from pointgw.net.run.lingering_close import LingeringClose
 from pointgw.net.run.listener import Listener
 from pointgw.net.wire.lines import Decline
 
 if TYPE_CHECKING:
-    from pointgw.net.run.server import ServerSide
+    from pointgw.net.run.server import ServerConnection
 
-JUST_ACCEPTED = 0.1  # seconds in which the line of one that was just accepted may still come, at a stop
+ACCEPT_GRACE = 0.1  # seconds in which the line of one that was just accepted may still come, at a stop
 
 
 class ClientConnections:
     """`linger_within`: seconds that the other side has to end a connection after its last line."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, linger_within: float) -> None:
-        self.loop, self.linger_within = loop, linger_within
-        self.idle: dict[ClientSide, None] = {}  # those that have asked for no tunnel, oldest first
+    def __init__(self, loop: asyncio.AbstractEventLoop, linger_timeout: float) -> None:
+        self.loop, self.linger_timeout = loop, linger_timeout
+        self.idle: dict[ClientConnection, None] = {}  # those that have asked for no tunnel, oldest first
         # Those that are ended in order, and whose other side has not ended them yet; oldest first.
-        self.lingering: dict[ClientSide | ServerSide, LingeringClose] = {}
+        self.lingering: dict[ClientConnection | ServerConnection, LingeringClose] = {}
         self.listener: Listener | None = None
 
     # Accepting.
 
-    def open(
-        self, address: tuple[str, int], factory: Callable[[], ClientSide], make_room: Callable[[], object]
+    def listen(
+        self,
+        address: tuple[str, int],
+        factory: Callable[[], ClientConnection],
+        make_room: Callable[[], object],
     ) -> None:
         """Raises OSError where the address can't be had."""
         self.listener = Listener(self.loop, factory, make_room)
         self.listener.open(address)
 
-    def close(self, force: bool = False) -> bool:
+    def stop_listening(self, force: bool = False) -> bool:
         """No connection is taken any more; False: some still wait, and there was no room for them."""
         return self.listener is None or self.listener.close(force)
 
     # Idle.
 
-    def accepted(self, side: ClientSide) -> None:
+    def add_idle(self, side: ClientConnection) -> None:
         self.idle[side] = None
 
-    def requested(self, side: ClientSide) -> None:
+    def remove_idle(self, side: ClientConnection) -> None:
         self.idle.pop(side, None)
 
-    def gone(self, side: ClientSide | ServerSide) -> None:
+    def remove(self, side: ClientConnection | ServerConnection) -> None:
         """Its connection has ended."""
-        if isinstance(side, ClientSide):
+        if isinstance(side, ClientConnection):
             self.idle.pop(side, None)
         if side in self.lingering:
-            self.lingering.pop(side).over()
+            self.lingering.pop(side).cancel_timer()
 
-    def make_room(self) -> ClientSide | None:
+    def evict_one(self) -> ClientConnection | None:
         """Gives up a connection for others: one that was answered and does not end, else the one that has
         been idle longest, which is given. One whose line has come but was not read yet stays."""
         if self.lingering:
             next(iter(self.lingering.values())).transport.abort()
             return None
-        oldest = next((side for side in self.idle if not tcp.unread(side.transport)), None)
+        oldest = next((side for side in self.idle if not tcp.unread_bytes(side.transport)), None)
         if oldest is not None:
             del self.idle[oldest]
-            oldest.make_room()
+            oldest.evict()
         return oldest
 
-    def end_idle(self, now: float, age: float = 0.0) -> None:
+    def close_idle(self, now: float, age: float = 0.0) -> None:
         """What has come on one is read and answered first. What crosses our end is not sent on, and the line
         before that end tells its client that another try is harmless."""
         for side in list(self.idle):
-            if now - side.accepted_at >= age and not tcp.unread(side.transport):
+            if now - side.accepted_at >= age and not tcp.unread_bytes(side.transport):
                 side.answer(Decline(0.0))
 
     # Closing.
 
-    def linger(self, side: ClientSide | ServerSide, transport: asyncio.Transport) -> None:
-        if isinstance(side, ClientSide):
+    def linger(self, side: ClientConnection | ServerConnection, transport: asyncio.Transport) -> None:
+        if isinstance(side, ClientConnection):
             self.idle.pop(side, None)
         if not transport.is_closing():
-            self.lingering[side] = LingeringClose(transport, self.loop, self.linger_within)
+            self.lingering[side] = LingeringClose(transport, self.loop, self.linger_timeout)
 
-    def dropped(self, side: ClientSide | ServerSide, size: int) -> None:
+    def count_discarded(self, side: ClientConnection | ServerConnection, size: int) -> None:
         """So many bytes came on one that is being ended."""
         if side in self.lingering:
-            self.lingering[side].read(size)
+            self.lingering[side].count_discarded(size)
 
-    def empty(self, now: float, over: bool) -> bool:
+    def close_remaining(self, now: float, over: bool) -> bool:
         """While the balancer leaves: whether nobody is left here. `over`: there is no more time."""
-        closed = self.close(force=over)
-        self.end_idle(now, 0.0 if over else JUST_ACCEPTED)
+        closed = self.stop_listening(force=over)
+        self.close_idle(now, 0.0 if over else ACCEPT_GRACE)
         connecting = self.listener is not None and self.listener.connecting
         return closed and not (self.idle or self.lingering or connecting)
--- a/pointgw/net/run/cluster.py
+++ b/pointgw/net/run/cluster.py
@@ -27,9 +27,9 @@
 from pointgw.net.wire.start_up import StartUpSettings
 from pointgw.policy import Balancer, Server, State, Tunnel
 
-TURNED_AWAY = 1.0  # seconds for which a client that was turned away counts as there: it comes again
-MOST_AWAY = 100_000  # of them that are remembered
-STATUS_EVERY = 1.0  # seconds
+DECLINED_COUNTED_FOR = 1.0  # seconds for which a client that was turned away counts as there: it comes again
+MAX_DECLINED = 100_000  # of them that are remembered
+STATUS_INTERVAL = 1.0  # seconds
 
 Address = tuple[str, int]
 _log = logging.getLogger("pointgw.tier")
@@ -39,7 +39,7 @@
 class ClusterRunner:
     """What is told of the tier, and what speaks for this balancer."""
 
-    told: ClusterSettings
+    settings: ClusterSettings
     keys: Keys
     peers: tuple[Address, ...]
     listen: Address
@@ -48,24 +48,26 @@
     profiles: tuple[str, ...]
     transport: ClusterTransport | None = None
     reducer: Reducer | None = None
-    away: dict[str, tuple[float, Profile]] = field(default_factory=dict)  # by the client's key, oldest first
-    shown_at: float = 0.0
-    writing: asyncio.Future[None] | None = None
-    said: tuple[object, ...] = ()
-    refused: bool = False  # the log says so of an evacuation
+    declined_clients: dict[str, tuple[float, Profile]] = field(
+        default_factory=dict
+    )  # by the client's key, oldest first
+    status_written_at: float = 0.0
+    status_write: asyncio.Future[None] | None = None
+    last_logged: tuple[object, ...] = ()
+    evacuation_refused: bool = False  # the log says so of an evacuation
 
     @classmethod
-    def begin(cls, section: operators.TierSection, start: StartUpSettings) -> ClusterRunner | None:
+    def create(cls, section: operators.TierSection, start: StartUpSettings) -> ClusterRunner | None:
         """None, and a line for each fault on standard error, where it can't be."""
         try:
-            return cls._begin(section, start)
+            return cls._create(section, start)
         except validation.InvalidFileError as faulty:
             for fault in faulty.problems:
                 print(f"pointgw: {fault.message(faulty.file)}", file=sys.stderr)
             return None
 
     @classmethod
-    def _begin(cls, section: operators.TierSection, start: StartUpSettings) -> ClusterRunner:
+    def _create(cls, section: operators.TierSection, start: StartUpSettings) -> ClusterRunner:
         peers, listen, me = settings.endpoints(
             "tier", section, start.peers, start.peer_listen, start.balancer_index
         )
@@ -77,15 +79,17 @@
     async def start(self, reducer: Reducer, loop: asyncio.AbstractEventLoop, seed: int) -> None:
         """Guards against an address that can't be had: the balancer serves on without the tier."""
         self.reducer = reducer
-        tier = ClusterNode(self.told, self.keys, Random(f"{seed}/tier/{os.urandom(8).hex()}"), loop.time())
-        voice = ClusterTransport(tier, self.peers, loop, self._see, self._act)
+        tier = ClusterNode(
+            self.settings, self.keys, Random(f"{seed}/tier/{os.urandom(8).hex()}"), loop.time()
+        )
+        voice = ClusterTransport(tier, self.peers, loop, self._observe, self._apply_plan)
         try:
             await voice.listen(self.listen)
         except OSError as fault:
             _log.error("no tier", extra={"fields": {"why": f"{type(fault).__name__} {fault}"}})
             return
         self.transport = voice
-        reducer.on_declined = self._declined
+        reducer.on_declined = self._record_declined
 
     def reload(self, section: operators.TierSection | None) -> None:
         """SIGHUP: which zones are to be emptied is taken over; what else changed needs a restart."""
@@ -95,96 +99,100 @@
             _log.error("tier not read again", extra={"fields": {"why": why}})
             return
         evacuate = sum(1 << self.zones.index(name) for name in section.evacuate)
-        if evacuate != self.told.evacuate:
-            self.told = replace(self.told, evacuate=evacuate)
+        if evacuate != self.settings.evacuate:
+            self.settings = replace(self.settings, evacuate=evacuate)
             if self.transport is not None:
-                self.transport.node.settings = self.told
+                self.transport.node.settings = self.settings
             _log.info("tier", extra={"fields": {"evacuate": ",".join(section.evacuate) or "-"}})
 
     def stop(self) -> None:
         if self.transport is not None:
             self.transport.stop()
 
-    def _declined(self, tun: Tunnel) -> None:
+    def _record_declined(self, tun: Tunnel) -> None:
         """Guards against a need that grows with each try of the same client: who is turned away comes again
         sooner than one that is served, and the plan would turn away ever more."""
         assert self.transport is not None
-        self.away.pop(tun.key, None)
-        if len(self.away) < MOST_AWAY:
-            self.away[tun.key] = (self.transport.loop.time(), tun.profile)
+        self.declined_clients.pop(tun.key, None)
+        if len(self.declined_clients) < MAX_DECLINED:
+            self.declined_clients[tun.key] = (self.transport.loop.time(), tun.profile)
 
-    def _see(self, now: float) -> None:
+    def _observe(self, now: float) -> None:
         if self.transport is None or self.reducer is None or not self.transport.node.observation_is_due(now):
             return
-        while self.away and next(iter(self.away.values()))[0] < now - TURNED_AWAY:
-            del self.away[next(iter(self.away))]
+        while (
+            self.declined_clients
+            and next(iter(self.declined_clients.values()))[0] < now - DECLINED_COUNTED_FOR
+        ):
+            del self.declined_clients[next(iter(self.declined_clients))]
         self.transport.node.observe(
-            seen(self.reducer, self.told.zones, [p for _, p in self.away.values()]), now
+            observe_zones(self.reducer, self.settings.zones, [p for _, p in self.declined_clients.values()]),
+            now,
         )
 
-    def _act(self, now: float) -> None:
+    def _apply_plan(self, now: float) -> None:
         if self.transport is None or self.reducer is None:
             return
         tier, balancer = self.transport.node, self.reducer.balancer
-        mine = tier.plan.shares[self.told.zone]
-        near = all(share[self.told.zone] == 1.0 for share in mine)
+        mine = tier.plan.shares[self.settings.zone]
+        near = all(share[self.settings.zone] == 1.0 for share in mine)
         balancer.zone_shares = {} if near else dict(zip(balancer.profiles, mine, strict=True))
         agreed = tier.agreement.agreed
         said = (len(tier.members.alive()), agreed, tier.map_mismatch())
-        if said != self.said:
-            self.said = said
-            _log.info("tier", extra={"fields": self._standing(now)})
-        if (tier.refused is not None) is not self.refused:
-            self.refused = tier.refused is not None
+        if said != self.last_logged:
+            self.last_logged = said
+            _log.info("tier", extra={"fields": self._status_fields(now)})
+        if (tier.refused is not None) is not self.evacuation_refused:
+            self.evacuation_refused = tier.refused is not None
             if tier.refused is not None:
                 need, room = tier.refused
                 figures = {"need": round(need, 2), "rest_bears": round(room, 2)}
                 _log.warning("evacuation refused", extra={"fields": figures})
-        if self.status and self.writing is None and now >= self.shown_at + STATUS_EVERY:
-            self.shown_at = now
-            self._write(now)
+        if self.status and self.status_write is None and now >= self.status_written_at + STATUS_INTERVAL:
+            self.status_written_at = now
+            self._write_status(now)
 
-    def _standing(self, now: float) -> dict[str, object]:
+    def _status_fields(self, now: float) -> dict[str, object]:
         assert self.transport is not None
         tier = self.transport.node
         agreed = tier.agreement.agreed
         closed = [name for z, name in enumerate(self.zones) if tier.agreement.closed >> z & 1]
         return {
-            "there": len(tier.members.alive()), "of": self.told.count,
+            "there": len(tier.members.alive()), "of": self.settings.count,
             "term": agreed.term if agreed is not None else 0, "closed": ",".join(closed) or "-",
             "other_maps": len(tier.members.strange), "doubt": tier.members.doubt,
         }  # fmt: skip
 
-    def _write(self, now: float) -> None:
+    def _write_status(self, now: float) -> None:
         """How things stand, whole or not at all, for the owner's eyes."""
         assert self.transport is not None
         tier = self.transport.node
         shares = {
             profile: {zone: round(share, 3) for zone, share in zip(self.zones, row, strict=True)}
-            for profile, row in zip(self.profiles, tier.plan.shares[self.told.zone], strict=True)
+            for profile, row in zip(self.profiles, tier.plan.shares[self.settings.zone], strict=True)
         }
         zones = {
             name: {"room": round(z.room, 2), "warm": round(z.warm, 2), "need": round(sum(z.need), 2)}
             for name, z in zip(self.zones, tier.zones(now), strict=True)
         }
         members = {str(m.number): m.state.name.lower() for m in tier.members.others.values()}
-        told = self._standing(now) | {
-            "me": self.told.own_index, "members": members, "zones": zones, "shares": shares,
+        told = self._status_fields(now) | {
+            "me": self.settings.own_index, "members": members, "zones": zones, "shares": shares,
             "figures": dict(tier.figures),
         }  # fmt: skip
         data = msgspec.json.encode(told)
-        self.writing = self.transport.loop.run_in_executor(None, replace_whole, self.status, data)
-        self.writing.add_done_callback(self._written)
+        self.status_write = self.transport.loop.run_in_executor(None, replace_file, self.status, data)
+        self.status_write.add_done_callback(self._status_written)
 
-    def _written(self, writing: asyncio.Future[None]) -> None:
-        self.writing = None
+    def _status_written(self, writing: asyncio.Future[None]) -> None:
+        self.status_write = None
         fault = None if writing.cancelled() else writing.exception()
         if fault is not None:
             _log.error("status not written", extra={"fields": {"why": str(fault)}})
             self.status = ""  # said once
 
 
-def replace_whole(file: str, data: bytes) -> None:
+def replace_file(file: str, data: bytes) -> None:
     """Raises OSError. Guards against a slow disk, where a rename waits for what was written: off the loop's
     thread, or no tunnel would be answered meanwhile."""
     handle, path = tempfile.mkstemp(dir=Path(file).parent, prefix=".tier-")
@@ -193,7 +201,7 @@
     os.replace(path, file)
 
 
-def seen(reducer: Reducer, zones: int, away: list[Profile]) -> tuple[ZoneObservation, ...]:
+def observe_zones(reducer: Reducer, zones: int, away: list[Profile]) -> tuple[ZoneObservation, ...]:
     """What this balancer sees of each zone, in mean, warm servers."""
     balancer, now = reducer.balancer, reducer.now
     room, warm, used = [0.0] * zones, [0.0] * zones, [0.0] * zones
@@ -201,7 +209,7 @@
         if 0 <= ep.zone < zones:
             size = ep.relative_size / balancer.mean_relative_size
             warm[ep.zone] += size
-            part = _part(balancer, ep, now)
+            part = _usable_share(balancer, ep, now)
             room[ep.zone] += size * part
             load = ep.reported_load if ep.reported_busy is not None else balancer.mean_load or 0.0
             used[ep.zone] += size * part * load
@@ -220,7 +228,7 @@
     )
 
 
-def _part(balancer: Balancer, ep: Server, now: float) -> float:
+def _usable_share(balancer: Balancer, ep: Server, now: float) -> float:
     """Of its full capacity, what it can do now by what this balancer saw of it."""
     if ep.process_missing or max(ep.ejected_until, ep.unstable_until) > now:
         return 0.0
--- a/pointgw/net/run/connection_state.py
+++ b/pointgw/net/run/connection_state.py
@@ -17,13 +17,13 @@
     """Where a connection stands."""
 
     IDLE = "idle"  # a client's: nothing was asked for
-    ASKED = "asked"  # a client's: its tunnel was asked for and is not answered
-    DIALLING = "dialling"  # a server's: it is not up, or up and not a byte of the request was written
-    WRITTEN = "written"  # a server's: the request was handed to the system
+    REQUESTED = "asked"  # a client's: its tunnel was asked for and is not answered
+    CONNECTING = "dialling"  # a server's: it is not up, or up and not a byte of the request was written
+    REQUEST_SENT = "written"  # a server's: the request was handed to the system
     ANSWERED = "answered"  # a server's: it took the tunnel, and the client was not told yet
-    JOINED = "joined"  # lines pass both ways
+    RELAYING = "joined"  # lines pass both ways
     HALF_CLOSED = "half-closed"  # our last byte is on its way; what still comes is read and dropped
-    ENDED = "ended"
+    CLOSED = "ended"
 
 
 class DeliveryState(Enum):
@@ -34,18 +34,25 @@
     RAN = "ran"
 
 
-NEXT = {
-    ConnectionState.IDLE: (ConnectionState.ASKED, ConnectionState.HALF_CLOSED, ConnectionState.ENDED),
-    ConnectionState.ASKED: (ConnectionState.JOINED, ConnectionState.HALF_CLOSED, ConnectionState.ENDED),
-    ConnectionState.DIALLING: (ConnectionState.WRITTEN, ConnectionState.ENDED),
-    ConnectionState.WRITTEN: (ConnectionState.ANSWERED, ConnectionState.ENDED),
-    ConnectionState.ANSWERED: (ConnectionState.JOINED, ConnectionState.ENDED),
-    ConnectionState.JOINED: (ConnectionState.HALF_CLOSED, ConnectionState.ENDED),
-    ConnectionState.HALF_CLOSED: (ConnectionState.ENDED,),
-    ConnectionState.ENDED: (),
+TRANSITIONS = {
+    ConnectionState.IDLE: (ConnectionState.REQUESTED, ConnectionState.HALF_CLOSED, ConnectionState.CLOSED),
+    ConnectionState.REQUESTED: (
+        ConnectionState.RELAYING,
+        ConnectionState.HALF_CLOSED,
+        ConnectionState.CLOSED,
+    ),
+    ConnectionState.CONNECTING: (ConnectionState.REQUEST_SENT, ConnectionState.CLOSED),
+    ConnectionState.REQUEST_SENT: (ConnectionState.ANSWERED, ConnectionState.CLOSED),
+    ConnectionState.ANSWERED: (ConnectionState.RELAYING, ConnectionState.CLOSED),
+    ConnectionState.RELAYING: (ConnectionState.HALF_CLOSED, ConnectionState.CLOSED),
+    ConnectionState.HALF_CLOSED: (ConnectionState.CLOSED,),
+    ConnectionState.CLOSED: (),
 }
-TELLS = {ConnectionState.WRITTEN: DeliveryState.MAY_HAVE_RUN, ConnectionState.ANSWERED: DeliveryState.RAN}
-OVER = (ConnectionState.HALF_CLOSED, ConnectionState.ENDED)
+DELIVERY_AFTER = {
+    ConnectionState.REQUEST_SENT: DeliveryState.MAY_HAVE_RUN,
+    ConnectionState.ANSWERED: DeliveryState.RAN,
+}
+CLOSING_STATES = (ConnectionState.HALF_CLOSED, ConnectionState.CLOSED)
 
 
 class ConnectionLifecycle:
@@ -53,19 +60,19 @@
 
     __slots__ = ("delivery", "state")
 
-    def __init__(self, stage: ConnectionState) -> None:
-        self.state, self.delivery = stage, DeliveryState.NOT_SENT
+    def __init__(self, initial: ConnectionState) -> None:
+        self.state, self.delivery = initial, DeliveryState.NOT_SENT
 
-    def transition_to(self, stage: ConnectionState) -> None:
+    def transition_to(self, target: ConnectionState) -> None:
         """Raises ValueError on a step that there is not."""
-        if stage not in NEXT[self.state]:
-            raise ValueError(f"a connection that is {self.state.value} cannot become {stage.value}")
-        self.state, self.delivery = stage, TELLS.get(stage, self.delivery)
+        if target not in TRANSITIONS[self.state]:
+            raise ValueError(f"a connection that is {self.state.value} cannot become {target.value}")
+        self.state, self.delivery = target, DELIVERY_AFTER.get(target, self.delivery)
 
     @property
-    def over(self) -> bool:
+    def is_closing(self) -> bool:
         """Nothing is said on it any more, and nothing that is read on it counts."""
-        return self.state in OVER
+        return self.state in CLOSING_STATES
 
     def timeout_ending(self) -> Ending:
         """How a setup ends whose time is over."""
--- a/pointgw/net/run/daemon.py
+++ b/pointgw/net/run/daemon.py
@@ -19,7 +19,7 @@
 
     `policy`: what decides; another than the module's is only for comparison.
     """
-    log.begin(os.environ.get("POINTGW_LOG", "info").upper())
+    log.configure(os.environ.get("POINTGW_LOG", "info").upper())
 
     def read() -> StartUpSettings:
         return parse_start_up_file(Path(config).read_bytes())
@@ -34,7 +34,7 @@
     if operator is not None:
         from pointgw.net.run.operator_file import OperatorFile  # nothing of it is loaded without the file
 
-        operators = OperatorFile.begin(operator)
+        operators = OperatorFile.load(operator)
         if operators is None:
             return 2
     remembering = None
@@ -42,19 +42,19 @@
         from pointgw.net.run.snapshots import SnapshotRunner
 
         kept = operators.settings.state
-        remembering = SnapshotRunner.begin(kept.folder, told, kept.boot)
+        remembering = SnapshotRunner.create(kept.folder, told, kept.boot)
     tiering = None
     if operators is not None and operators.settings.tier is not None:
         from pointgw.net.run.cluster import ClusterRunner
 
-        tiering = ClusterRunner.begin(operators.settings.tier, told)
+        tiering = ClusterRunner.create(operators.settings.tier, told)
         if tiering is None:
             return 2
     recovering = None
     if operators is not None and operators.settings.recovery is not None:
         from pointgw.net.run.recovery import RecoveryRunner
 
-        recovering = RecoveryRunner.begin(operators.settings.recovery, told)
+        recovering = RecoveryRunner.create(operators.settings.recovery, told)
         if recovering is None:
             return 2
     try:
--- a/pointgw/net/run/discovery.py
+++ b/pointgw/net/run/discovery.py
@@ -20,96 +20,96 @@
 _log = logging.getLogger("pointgw.discovery")
 
 
-class DiscoverySide:
+class DiscoveryClient:
     """The one call that is out, on whose behalf, and the connection it goes out on."""
 
-    __slots__ = ("address", "asked", "failing", "link", "names", "node", "response", "task", "timer")
+    __slots__ = ("address", "failing", "link", "names", "process", "request", "response", "task", "timer")
 
     def __init__(self, node: BalancerProcess, address: tuple[str, int], names: server_list.Names) -> None:
-        self.node, self.address, self.names = node, address, names
-        self.asked: RequestList | None = None
+        self.process, self.address, self.names = node, address, names
+        self.request: RequestList | None = None
         self.link: Link | None = None  # the one connection whose bytes count
         self.response = server_list.Response()  # what comes on it
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
         self.failing = False  # the last call failed, and the log says so
 
-    def ask(self, asked: RequestList) -> None:
-        self.asked = asked
+    def request_list(self, asked: RequestList) -> None:
+        self.request = asked
         if asked.delay:
-            self.timer = self.node.loop.call_later(asked.delay, self._go, asked)
+            self.timer = self.process.loop.call_later(asked.delay, self._start_call, asked)
         else:
-            self._go(asked)
+            self._start_call(asked)
 
-    def _go(self, asked: RequestList) -> None:
+    def _start_call(self, asked: RequestList) -> None:
         within = asked.wait + REACHED if asked.wait else ANSWER
-        self.timer = self.node.loop.call_later(within, self.failed, "no answer", asked.wait > 0)
+        self.timer = self.process.loop.call_later(within, self.fail, "no answer", asked.wait > 0)
         if self.link is not None:
-            self.up()
+            self.on_connected()
         else:
             self.response = server_list.Response()
             self.link = link = Link(self)
-            self.task = self.node.loop.create_task(self._connect(link))
+            self.task = self.process.loop.create_task(self._connect(link))
 
     async def _connect(self, link: Link) -> None:
         try:
-            await self.node.loop.create_connection(lambda: link, *self.address)
+            await self.process.loop.create_connection(lambda: link, *self.address)
         except OSError as fault:
             if link is self.link:
-                self.failed(f"no connection: {fault}")
+                self.fail(f"no connection: {fault}")
 
-    def up(self) -> None:
-        assert self.asked is not None and self.link is not None
+    def on_connected(self) -> None:
+        assert self.request is not None and self.link is not None
         host = f"{self.address[0]}:{self.address[1]}"
-        self.link.send(server_list.list_request(host, self.asked.version, self.asked.wait))
+        self.link.send(server_list.list_request(host, self.request.version, self.request.wait))
 
-    def heard(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         try:
             self.response.feed(data)
         except Malformed as fault:
-            self.failed(str(fault))
+            self.fail(str(fault))
             return
         if self.response.take_done():
-            self._answered(self.response)
+            self._handle_response(self.response)
 
-    def lost(self) -> None:
-        if self.asked is not None and self.response.ended():
-            self._answered(self.response)
+    def on_lost(self) -> None:
+        if self.request is not None and self.response.ended():
+            self._handle_response(self.response)
         else:
-            self.failed("connection ended")
+            self.fail("connection ended")
 
-    def _answered(self, response: server_list.Response) -> None:
-        if self.asked is None:
+    def _handle_response(self, response: server_list.Response) -> None:
+        if self.request is None:
             self._close()  # nothing was asked
             return
         if response.status != 200:
-            self.failed(f"status {response.status}")
+            self.fail(f"status {response.status}")
             return
         try:
             told = server_list.parse_server_list_body(bytes(response.data), self.names)
         except Malformed as fault:
-            self.failed(str(fault))
+            self.fail(str(fault))
             return
         self.failing = False
         if told.unusable:
-            self.node.refused("list entry", f"{told.unusable} that can't be used")
-        self.over(keep=response.keeps_alive)
-        self.node.feed(ListReceived(told, time.time()))
+            self.process.count_refusal("list entry", f"{told.unusable} that can't be used")
+        self.end_call(keep=response.keeps_alive)
+        self.process.submit(ListReceived(told, time.time()))
 
-    def failed(self, why: str, silent: bool = False) -> None:
+    def fail(self, why: str, silent: bool = False) -> None:
         """Whatever was wrong, a call fails once, and its connection goes with it. `silent`: a watch of which
         nothing came."""
-        if self.asked is None:
+        if self.request is None:
             self._close()
             return
-        self.over(keep=False)
+        self.end_call(keep=False)
         (_log.debug if self.failing else _log.warning)("call failed", extra={"fields": {"why": why}})
         self.failing = True
-        self.node.feed(ListRequestFailed(silent))
+        self.process.submit(ListRequestFailed(silent))
 
-    def over(self, keep: bool) -> None:
+    def end_call(self, keep: bool) -> None:
         """No call is out any more."""
-        self.asked = None
+        self.request = None
         if self.timer is not None:
             self.timer.cancel()
         if not keep:
--- a/pointgw/net/run/lingering_close.py
+++ b/pointgw/net/run/lingering_close.py
@@ -6,8 +6,8 @@
 
 from pointgw.net.run import tcp
 
-BRIEF = 0.25  # seconds for the other side to end it, where nothing else is said
-PACE = 0.01  # seconds between two buffers of a flood that is read and dropped
+DEFAULT_TIMEOUT = 0.25  # seconds for the other side to end it, where nothing else is said
+FLOOD_READ_INTERVAL = 0.01  # seconds between two buffers of a flood that is read and dropped
 
 
 class LingeringClose:
@@ -18,28 +18,28 @@
     flood is read at a bounded pace: it costs little, and its sender still reads its answer.
     """
 
-    __slots__ = ("loop", "spilt", "timer", "transport")
+    __slots__ = ("discarded_bytes", "loop", "timer", "transport")
 
-    def __init__(self, transport: asyncio.Transport, loop: asyncio.AbstractEventLoop, within: float) -> None:
-        self.transport, self.loop, self.spilt = transport, loop, 0
-        self.timer = loop.call_later(within, transport.abort)
+    def __init__(self, transport: asyncio.Transport, loop: asyncio.AbstractEventLoop, timeout: float) -> None:
+        self.transport, self.loop, self.discarded_bytes = transport, loop, 0
+        self.timer = loop.call_later(timeout, transport.abort)
         if not transport.is_closing():
             transport.resume_reading()
             transport.write_eof()
 
-    def read(self, size: int) -> None:
+    def count_discarded(self, size: int) -> None:
         """So many bytes have come and were dropped."""
-        self.spilt += size
-        if self.spilt > tcp.FULL_BUFFER:
-            self.spilt = 0
-            tcp.pause(self.transport)
-            self.loop.call_later(PACE, tcp.resume, self.transport)
+        self.discarded_bytes += size
+        if self.discarded_bytes > tcp.BUFFER_LIMIT:
+            self.discarded_bytes = 0
+            tcp.pause_reading(self.transport)
+            self.loop.call_later(FLOOD_READ_INTERVAL, tcp.resume_reading, self.transport)
 
-    def over(self) -> None:
+    def cancel_timer(self) -> None:
         self.timer.cancel()
 
 
-def finish(transport: asyncio.Transport, within: float = BRIEF) -> None:
+def close_gracefully(transport: asyncio.Transport, timeout: float = DEFAULT_TIMEOUT) -> None:
     """Ends it in order, where nobody counts what still comes. `within`: seconds."""
     if not transport.is_closing():
-        LingeringClose(transport, asyncio.get_running_loop(), within)
+        LingeringClose(transport, asyncio.get_running_loop(), timeout)
--- a/pointgw/net/run/link.py
+++ b/pointgw/net/run/link.py
@@ -6,18 +6,18 @@
 from typing import Protocol, cast
 
 
-class Owner(Protocol):
+class LinkOwner(Protocol):
     """Who dials. What happens to another connection than its `link` does not count."""
 
     @property
     def link(self) -> Link | None: ...
 
-    def up(self) -> None:
+    def on_connected(self) -> None:
         """The link is up, and nothing was written to it."""
 
-    def heard(self, data: bytes) -> None: ...
+    def on_data(self, data: bytes) -> None: ...
 
-    def lost(self) -> None:
+    def on_lost(self) -> None:
         """The link has ended, and not by `close`."""
 
 
@@ -26,18 +26,18 @@
 
     __slots__ = ("owner", "transport")
 
-    def __init__(self, owner: Owner) -> None:
+    def __init__(self, owner: LinkOwner) -> None:
         self.owner = owner
         self.transport: asyncio.Transport | None = None
 
     @property
-    def ready(self) -> bool:
+    def is_connected(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         if self.owner.link is self:
-            self.owner.up()
+            self.owner.on_connected()
         else:
             self.transport.abort()  # a dial that was given up, and came up all the same
 
@@ -48,7 +48,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.owner.link is self:
-            self.owner.heard(data)
+            self.owner.on_data(data)
 
     def close(self) -> None:
         if self.transport is not None:
@@ -56,4 +56,4 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.owner.link is self:
-            self.owner.lost()
+            self.owner.on_lost()
--- a/pointgw/net/run/listener.py
+++ b/pointgw/net/run/listener.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 
 BACKLOG = 1024  # connections that may wait in the system
-BATCH = 64  # connections taken in one turn of the loop, so that room can be made between them
-RETRY = 0.01  # seconds until the next try where the system has no room
+ACCEPT_BATCH = 64  # connections taken in one turn of the loop, so that room can be made between them
+RETRY_DELAY = 0.01  # seconds until the next try where the system has no room
 # A lack of ours: the connection still waits and can be taken later.
-LACKING = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 _log = logging.getLogger("pointgw.listener")
 
@@ -27,11 +27,11 @@
         self,
         loop: asyncio.AbstractEventLoop,
         factory: Callable[[], asyncio.Protocol],
-        make_room: Callable[[], object],
+        free_descriptor: Callable[[], object],
     ) -> None:
-        self.loop, self.factory, self.make_room = loop, factory, make_room
+        self.loop, self.factory, self.free_descriptor = loop, factory, free_descriptor
         self.socket: socket.socket | None = None
-        self.retry: asyncio.TimerHandle | None = None
+        self.retry_timer: asyncio.TimerHandle | None = None
         self.connecting: set[asyncio.Task[None]] = set()  # taken, and not yet made into transports
         self.failures = 0  # calls of accept that failed by a lack of ours
 
@@ -45,10 +45,10 @@
         if not self._accept():
             self._pause()
 
-    def _accept(self, most: int = BATCH) -> bool:
+    def _accept(self, limit: int = ACCEPT_BATCH) -> bool:
         """Takes connections that wait; False: the system has no room for the next one, or each try failed."""
         failed = 0
-        for _ in range(most):
+        for _ in range(limit):
             if self.socket is None:
                 return True
             try:
@@ -56,15 +56,15 @@
             except BlockingIOError:
                 return True
             except OSError as fault:
-                if fault.errno in LACKING:
+                if fault.errno in RESOURCE_ERRORS:
                     self.failures += 1
                     return False
                 failed += 1  # a fault of that one connection, which is gone with it: the next one
                 continue
-            self._begin(connection)
-        return failed < most
+            self._start_connect(connection)
+        return failed < limit
 
-    def _begin(self, connection: socket.socket) -> None:
+    def _start_connect(self, connection: socket.socket) -> None:
         connection.setblocking(False)
         task = self.loop.create_task(self._connect(connection))
         self.connecting.add(task)
@@ -83,11 +83,11 @@
             return
         _log.debug("no room to accept", extra={"fields": {"failures": self.failures}})
         self.loop.remove_reader(self.socket.fileno())
-        self.retry = self.loop.call_later(RETRY, self._resume)
-        self.make_room()
+        self.retry_timer = self.loop.call_later(RETRY_DELAY, self._resume)
+        self.free_descriptor()
 
     def _resume(self) -> None:
-        self.retry = None
+        self.retry_timer = None
         if self.socket is not None:
             self.loop.add_reader(self.socket.fileno(), self._readable)
 
@@ -98,10 +98,10 @@
         if self.socket is None:
             return True
         if not self._accept(BACKLOG) and not force:
-            self.make_room()
+            self.free_descriptor()
             return False
-        if self.retry is not None:
-            self.retry.cancel()
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         self.loop.remove_reader(self.socket.fileno())
         self.socket.close()
         self.socket = None
--- a/pointgw/net/run/log.py
+++ b/pointgw/net/run/log.py
@@ -10,10 +10,10 @@
 
 STANDARD_ERROR = 2
 # A pipe that poll calls writable takes so many bytes without blocking (POSIX asks for 512 at least).
-PIECE = min(select.PIPE_BUF, 4096)
+MAX_PIECE_BYTES = min(select.PIPE_BUF, 4096)
 
 
-class KeyValue(logging.Formatter):
+class KeyValueFormatter(logging.Formatter):
     """`at=... level=... from=... event=...` and what the caller gave as `extra={"fields": {...}}`."""
 
     def format(self, record: logging.LogRecord) -> str:
@@ -26,10 +26,10 @@
         pairs |= getattr(record, "fields", {})
         if record.exc_info:
             pairs["fault"] = self.formatException(record.exc_info)
-        return " ".join(f"{name}={self._shown(value)}" for name, value in pairs.items())
+        return " ".join(f"{name}={self._quote(value)}" for name, value in pairs.items())
 
     @staticmethod
-    def _shown(value: object) -> str:
+    def _quote(value: object) -> str:
         text = f"{value:.4g}" if isinstance(value, float) else str(value)
         if text and not any(mark in text for mark in ' "=\n'):
             return text
@@ -45,7 +45,7 @@
 
     def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
         super().__init__()
-        self.descriptor, self.dropped, self.cut = descriptor, 0, False
+        self.descriptor, self.dropped, self.line_incomplete = descriptor, 0, False
         self.socket: socket.socket | None = None
         self.poll = select.poll()
         try:
@@ -61,29 +61,29 @@
         except Exception:
             self.handleError(record)
             return
-        if self.dropped and self._write(self._about_dropped(record)):
+        if self.dropped and self._write(self._format_dropped_count(record)):
             self.dropped = 0
         if self.dropped or not self._write(line):
             self.dropped += 1
 
-    def _about_dropped(self, record: logging.LogRecord) -> str:
+    def _format_dropped_count(self, record: logging.LogRecord) -> str:
         fields = {"lines": self.dropped}
         told = {"name": "pointgw.log", "msg": "lines dropped", "levelname": "WARNING", "fields": fields}
         return self.format(logging.makeLogRecord(told | {"created": record.created}))
 
     def _write(self, line: str) -> bool:
         """False: there was no room for it, or not for all of it."""
-        data = (b"\n" if self.cut else b"") + line.encode("utf-8", "backslashreplace") + b"\n"
+        data = (b"\n" if self.line_incomplete else b"") + line.encode("utf-8", "backslashreplace") + b"\n"
         at = 0
         try:
             while at < len(data):
-                written = self._write_piece(data[at : at + PIECE])
+                written = self._write_piece(data[at : at + MAX_PIECE_BYTES])
                 if not written:
                     break
                 at += written
         except OSError:
             pass  # the reader has gone: as if there were no room
-        self.cut = 0 < at < len(data) or (self.cut and at == 0)
+        self.line_incomplete = 0 < at < len(data) or (self.line_incomplete and at == 0)
         return at == len(data)
 
     def _write_piece(self, piece: bytes) -> int:
@@ -94,7 +94,7 @@
         return os.write(self.descriptor, piece)
 
 
-def begin(level: str) -> None:
+def configure(level: str) -> None:
     handler = NonBlockingHandler()
-    handler.setFormatter(KeyValue())
+    handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
--- a/pointgw/net/run/operator_file.py
+++ b/pointgw/net/run/operator_file.py
@@ -16,12 +16,12 @@
 class OperatorFile:
     """The sections in force. A file with a fault changes nothing."""
 
-    def __init__(self, path: str, told: operators.OperatorSettings) -> None:
-        self.path, self.settings = path, told
-        self._apply()
+    def __init__(self, path: str, settings: operators.OperatorSettings) -> None:
+        self.path, self.settings = path, settings
+        self._apply_log_level()
 
     @classmethod
-    def begin(cls, path: str) -> OperatorFile | None:
+    def load(cls, path: str) -> OperatorFile | None:
         """None, and a line for each fault on standard error, where the file can't be used."""
         try:
             return cls(path, operators.read(path))
@@ -31,27 +31,27 @@
             return None
 
     def reload(self) -> None:
-        before = self._fixed()
+        before = self._restart_only()
         try:
             self.settings = operators.read(self.path)
         except validation.InvalidFileError as faulty:
             for fault in faulty.problems:
                 _log.error("operators' file refused", extra={"fields": {"why": fault.message(self.path)}})
             return
-        self._apply()
-        now = self._fixed()
+        self._apply_log_level()
+        now = self._restart_only()
         restart = ",".join(name for name, was in before.items() if now[name] != was) or "-"
         _log.info("operators' file read", extra={"fields": {"path": self.path, "need_restart": restart}})
 
-    def _fixed(self) -> dict[str, object]:
+    def _restart_only(self) -> dict[str, object]:
         """What a change of needs a restart."""
         return {
             "state": self.settings.state,
-            "tier": _without(self.settings.tier),
+            "tier": _without_evacuation(self.settings.tier),
             "recovery": self.settings.recovery,
         }
 
-    def _apply(self) -> None:
+    def _apply_log_level(self) -> None:
         if self.settings.log is not None:
             logging.getLogger().setLevel(self.settings.log.level.upper())
         else:
@@ -63,6 +63,6 @@
         return self.settings.log.state_every if self.settings.log is not None else None
 
 
-def _without(tier: operators.TierSection | None) -> operators.TierSection | None:
+def _without_evacuation(tier: operators.TierSection | None) -> operators.TierSection | None:
     """What of it needs a restart: all but the zones to be emptied."""
     return msgspec.structs.replace(tier, evacuate=()) if tier is not None else None
--- a/pointgw/net/run/periodic.py
+++ b/pointgw/net/run/periodic.py
@@ -8,12 +8,12 @@
 
 from pointgw.net.invariant import violations
 
-LOGGED = 10  # faults of one kind that are logged with a traceback
+MAX_TRACEBACKS = 10  # faults of one kind that are logged with a traceback
 
 _log = logging.getLogger("pointgw.periodic")
 
 
-class Periodic:
+class PeriodicTimer:
     """Calls `work` every `interval()` seconds until it is stopped; the first time after one interval.
 
     The next call is scheduled before the work is done: a chain that schedules itself last ends for good at
@@ -41,15 +41,15 @@
         try:
             self.work()
         except Exception:
-            count_fault(f"periodic_{self.name}", self.name)
+            count_exception(f"periodic_{self.name}", self.name)
 
     def stop(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
 
 
-def count_fault(what: str, about: str) -> None:
+def count_exception(counter: str, subject: str) -> None:
     """Counts an exception that is being handled, and logs the first few of its kind."""
-    violations[what] += 1
-    if violations[what] <= LOGGED:
-        _log.exception("fault", extra={"fields": {"what": what, "about": about}})
+    violations[counter] += 1
+    if violations[counter] <= MAX_TRACEBACKS:
+        _log.exception("fault", extra={"fields": {"what": counter, "about": subject}})
--- a/pointgw/net/run/probe.py
+++ b/pointgw/net/run/probe.py
@@ -17,26 +17,26 @@
     from pointgw.net.run.probe_pool import ProbePool
 
 
-class ProbeSide:
+class ProbeConnection:
     """The one probe that is out, and the connection it goes out on."""
 
-    __slots__ = ("address", "asked", "buffer", "link", "node", "pool", "reused", "server", "task", "timer")
+    __slots__ = ("address", "buffer", "link", "pool", "probe", "process", "reused", "server", "task", "timer")
 
     def __init__(self, node: BalancerProcess, pool: ProbePool, server: str, address: Address) -> None:
-        self.node, self.pool, self.server, self.address = node, pool, server, address
-        self.asked: Probe | None = None  # the probe that is out
+        self.process, self.pool, self.server, self.address = node, pool, server, address
+        self.probe: Probe | None = None  # the probe that is out
         self.reused = False  # it went out on a connection that had served before
         self.link: Link | None = None  # the one connection whose bytes count
         self.buffer = bytearray()  # what came on it after the last whole line
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
 
-    def ask(self, probe: Probe) -> None:
-        self.asked = probe
-        self.timer = self.node.loop.call_later(probe.timeout, self._end, "timeout", {})
-        if self.link is not None and self.link.ready:
+    def send(self, probe: Probe) -> None:
+        self.probe = probe
+        self.timer = self.process.loop.call_later(probe.timeout, self._finish, "timeout", {})
+        if self.link is not None and self.link.is_connected:
             self.reused = True
-            self.up()
+            self.on_connected()
         else:
             self._open(probe)
 
@@ -45,26 +45,26 @@
         self.reused = False
         self.buffer.clear()
         self.link = link = Link(self)
-        self.task = self.node.loop.create_task(self._connect(probe, link))
-        self.node.loop.call_later(probe.connect_timeout, self._undialled, probe, link, TimeoutError())
+        self.task = self.process.loop.create_task(self._connect(probe, link))
+        self.process.loop.call_later(probe.connect_timeout, self._connect_failed, probe, link, TimeoutError())
 
     async def _connect(self, probe: Probe, link: Link) -> None:
         try:
-            await self.node.loop.create_connection(lambda: link, *probe.address)
-            self.node.route.connected(probe.address, self.node.now())
+            await self.process.loop.create_connection(lambda: link, *probe.address)
+            self.process.route_evidence.connected(probe.address, self.process.now())
         except OSError as fault:
-            self._undialled(probe, link, fault)
+            self._connect_failed(probe, link, fault)
 
-    def _undialled(self, probe: Probe, link: Link, fault: OSError) -> None:
+    def _connect_failed(self, probe: Probe, link: Link, fault: OSError) -> None:
         """A connection that had come up by then is judged by what comes on it."""
         if link is self.link and link.transport is None:
-            self._end(self.node.route.ending(fault, probe.address, self.node.now()), {})
+            self._finish(self.process.route_evidence.ending(fault, probe.address, self.process.now()), {})
 
-    def up(self) -> None:
-        if self.link is not None and self.asked is not None:
+    def on_connected(self) -> None:
+        if self.link is not None and self.probe is not None:
             self.link.send(lines.STATS + lines.END)
 
-    def heard(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         self.buffer += data
         try:
             line = lines.cut(self.buffer)
@@ -72,42 +72,42 @@
             line = lines.ERR
         if line is None:
             return
-        if self.asked is None:
+        if self.probe is None:
             self.close()  # nobody asked for it
-            self.pool.idle(self)
+            self.pool.probe_ended(self)
             return
         answer = lines.probe_line(line)
         if answer.has_invalid_report:
-            self.node.refused("bad report", line[:80])
+            self.process.count_refusal("bad report", line[:80])
         if self.buffer:  # guards against what comes late being read as the next probe's answer
             self.close()
-        self._end(answer.ending, answer.report)
+        self._finish(answer.ending, answer.report)
 
-    def lost(self) -> None:
+    def on_lost(self) -> None:
         """Its connection has ended."""
         self.link = None
-        if self.asked is None:
-            self.pool.idle(self)
+        if self.probe is None:
+            self.pool.probe_ended(self)
             return
         if self.reused:  # the server has ended a connection that was idle: asked again on a new one
-            self._open(self.asked)
+            self._open(self.probe)
         else:
-            self._end("reset", {})
+            self._finish("reset", {})
 
-    def _end(self, ending: Ending, report: Report) -> None:
-        asked, self.asked = self.asked, None
+    def _finish(self, ending: Ending, report: Report) -> None:
+        asked, self.probe = self.probe, None
         if self.timer is not None:
             self.timer.cancel()
         if ending in ("timeout", "no-connection", "moot"):
             self.close()
-        self.pool.idle(self)
+        self.pool.probe_ended(self)
         if asked is not None:
-            self.node.feed(ProbeEnded(asked.server, ending, report))
+            self.process.submit(ProbeEnded(asked.server, ending, report))
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """Its server is to get nothing new, not even what waits for its connection to come up."""
         self.close()
-        self._end("moot", {})
+        self._finish("moot", {})
 
     def close(self) -> None:
         if self.task is not None:
--- a/pointgw/net/run/probe_pool.py
+++ b/pointgw/net/run/probe_pool.py
@@ -7,12 +7,14 @@
 
 from pointgw.net.core.effects import Probe
 from pointgw.net.core.events import ProbeEnded
-from pointgw.net.run.probe import ProbeSide
+from pointgw.net.run.probe import ProbeConnection
 
 if TYPE_CHECKING:
     from pointgw.net.run.balancer_process import BalancerProcess
 
-SHARE = 1 / 4  # of the descriptors that this process may hold: clients and attempts need two thirds
+DESCRIPTOR_SHARE = (
+    1 / 4
+)  # of the descriptors that this process may hold: clients and attempts need two thirds
 
 
 class ProbePool:
@@ -23,62 +25,62 @@
     """
 
     def __init__(self, node: BalancerProcess, descriptors: int) -> None:
-        self.node = node
-        self.limit = max(1, int(descriptors * SHARE))
-        self.open: dict[str, ProbeSide] = {}  # by server; the least recently used first
+        self.process = node
+        self.limit = max(1, int(descriptors * DESCRIPTOR_SHARE))
+        self.connections: dict[str, ProbeConnection] = {}  # by server; the least recently used first
         self.waiting: dict[str, Probe] = {}  # until a connection is free, in the order they were asked for
 
     def __len__(self) -> int:
-        return len(self.open)
+        return len(self.connections)
 
-    def ask(self, probe: Probe) -> None:
+    def send(self, probe: Probe) -> None:
         """Sends a probe, now or as soon as a connection is free."""
-        side = self.open.pop(probe.server, None)
+        side = self.connections.pop(probe.server, None)
         if side is not None and side.address != probe.address:  # the server has moved
             side.close()
             side = None
-        if side is None and len(self.open) >= self.limit and not self.close_idle():
+        if side is None and len(self.connections) >= self.limit and not self.close_idle():
             self.waiting[probe.server] = probe
-            self.node.loop.call_later(probe.timeout, self._waited_too_long, probe)
+            self.process.loop.call_later(probe.timeout, self._wait_timed_out, probe)
             return
-        side = side or ProbeSide(self.node, self, probe.server, probe.address)
-        self.open[probe.server] = side
-        side.ask(probe)
+        side = side or ProbeConnection(self.process, self, probe.server, probe.address)
+        self.connections[probe.server] = side
+        side.send(probe)
 
     def close_idle(self) -> bool:
         """Closes the connection that has been idle longest; False where none is idle."""
-        idle = next((side for side in self.open.values() if side.asked is None), None)
+        idle = next((side for side in self.connections.values() if side.probe is None), None)
         if idle is None:
             return False
-        self.open.pop(idle.server)
+        self.connections.pop(idle.server)
         idle.close()
         return True
 
-    def forget(self, server: str) -> None:
+    def abandon(self, server: str) -> None:
         """The server is to get nothing new: what was asked of it is given up, its connection is closed."""
-        probe, side = self.waiting.pop(server, None), self.open.get(server)
+        probe, side = self.waiting.pop(server, None), self.connections.get(server)
         if probe is not None:
-            self._give_up(probe)
+            self._report_moot(probe)
         if side is not None:
-            side.give_up()
+            side.abandon()
 
-    def idle(self, side: ProbeSide) -> None:
+    def probe_ended(self, side: ProbeConnection) -> None:
         """A probe has ended. A connection that is not kept makes room at once."""
-        if side.link is None and self.open.get(side.server) is side:
-            del self.open[side.server]
+        if side.link is None and self.connections.get(side.server) is side:
+            del self.connections[side.server]
         self._send_waiting()
 
     def _send_waiting(self) -> None:
         ready = deque(self.waiting.values())
-        while ready and (len(self.open) < self.limit or self.close_idle()):
+        while ready and (len(self.connections) < self.limit or self.close_idle()):
             probe = ready.popleft()
             if self.waiting.pop(probe.server, None) is not None:
-                self.ask(probe)
+                self.send(probe)
 
-    def _waited_too_long(self, probe: Probe) -> None:
+    def _wait_timed_out(self, probe: Probe) -> None:
         if self.waiting.get(probe.server) is probe:
             del self.waiting[probe.server]
-            self._give_up(probe)
+            self._report_moot(probe)
 
-    def _give_up(self, probe: Probe) -> None:
-        self.node.feed(ProbeEnded(probe.server, "moot", {}))
+    def _report_moot(self, probe: Probe) -> None:
+        self.process.submit(ProbeEnded(probe.server, "moot", {}))
--- a/pointgw/net/run/recovery.py
+++ b/pointgw/net/run/recovery.py
@@ -27,7 +27,9 @@
 from pointgw.recovery.phase import Phase, RecoveryPhaseTracker
 from pointgw.recovery.transport import Address, LeaseTransport
 
-LOOK = 0.5  # of the time that a lender's end lies after the borrower's: between two looks at what waits
+CHECK_SHARE = (
+    0.5  # of the time that a lender's end lies after the borrower's: between two looks at what waits
+)
 
 _log = logging.getLogger("pointgw.recovery")
 
@@ -38,17 +40,17 @@
     keys: Keys
     peers: tuple[Address, ...]
     listen: Address
-    me: int
+    own_index: int
     transport: LeaseTransport | None = None
     reducer: Reducer | None = None
-    standing: RecoveryPhaseTracker | None = None
+    phase_tracker: RecoveryPhaseTracker | None = None
     timer: asyncio.TimerHandle | None = None
     clock: Callable[[], float] = time.time  # the decisions'
-    every: float = 0.0  # seconds between two looks
-    own: bool = False  # the socket is this one's, and not the tier's
+    check_interval: float = 0.0  # seconds between two looks
+    owns_socket: bool = False  # the socket is this one's, and not the tier's
 
     @classmethod
-    def begin(cls, section: operators.RecoverySection, start: StartUpSettings) -> RecoveryRunner | None:
+    def create(cls, section: operators.RecoverySection, start: StartUpSettings) -> RecoveryRunner | None:
         """None, and a line for each fault on standard error, where it can't be."""
         try:
             peers, listen, me = settings.endpoints(
@@ -74,14 +76,14 @@
     ) -> None:
         """Guards against an address that can't be had: the balancer serves on by its own part."""
         balancer, now = reducer.balancer, loop.time()
-        self.every = LOOK * LESSOR_MARGIN * LEASE_DURATION * balancer.overload_window
-        self.reducer, self.clock, self.standing = (
+        self.check_interval = CHECK_SHARE * LESSOR_MARGIN * LEASE_DURATION * balancer.overload_window
+        self.reducer, self.clock, self.phase_tracker = (
             reducer, clock, RecoveryPhaseTracker(balancer.warm_up_window, now)
         )  # fmt: skip
         if self.section.loans and len(self.peers) > 1:
             rng = Random(f"{seed}/recovery/{os.urandom(8).hex()}")
-            loans = Leases(self.me, len(self.peers), balancer.overload_window, rng, now)
-            voice = LeaseTransport(loans, self.keys, self.peers, loop, self._changed)
+            loans = Leases(self.own_index, len(self.peers), balancer.overload_window, rng, now)
+            voice = LeaseTransport(loans, self.keys, self.peers, loop, self._update_budget_share)
             if tier is not None and tier.transport is not None:
                 voice.transport = tier.transport
                 tier.others[messages.MAGIC] = voice.datagram_received
@@ -91,26 +93,26 @@
                 except OSError as fault:
                     _log.error("no loans", extra={"fields": {"why": f"{type(fault).__name__} {fault}"}})
                     voice.transport = None
-                self.own = True
+                self.owns_socket = True
             self.transport = voice if voice.transport is not None else None
-        self._look()
+        self._check()
 
     def stop(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        if self.transport is not None and self.own:
+        if self.transport is not None and self.owns_socket:
             self.transport.stop()
 
-    def _look(self) -> None:
-        assert self.reducer is not None and self.standing is not None
+    def _check(self) -> None:
+        assert self.reducer is not None and self.phase_tracker is not None
         loop, balancer, now = asyncio.get_running_loop(), self.reducer.balancer, self.clock()
         waits = bool(balancer.queue) or now < balancer.no_room_until
-        seen = look(balancer, waits, now)
+        seen = count_servers(balancer, waits, now)
         if self.transport is not None:
             self.transport.ask(waits and seen.cold > 0, not waits)
-            self._changed(loop.time())
-        was, stands = self.standing.phase, self.standing.look(seen, loop.time())
-        balancer.queue_priority = _rank if self.section.order and stands is Phase.FILLING else None
+            self._update_budget_share(loop.time())
+        was, stands = self.phase_tracker.phase, self.phase_tracker.look(seen, loop.time())
+        balancer.queue_priority = _queue_priority if self.section.order and stands is Phase.FILLING else None
         if stands is not was:
             fields: dict[str, object] = {
                 "phase": stands.value, "servers": seen.servers, "heard": seen.heard, "cold": seen.cold,
@@ -118,9 +120,9 @@
             if self.transport is not None:
                 fields |= {"borrowed": self.transport.leases.borrowed, "lent": self.transport.leases.granted}
             _log.info("recovery", extra={"fields": fields})
-        self.timer = loop.call_later(self.every, self._look)
+        self.timer = loop.call_later(self.check_interval, self._check)
 
-    def _changed(self, now: float) -> None:
+    def _update_budget_share(self, now: float) -> None:
         """A loan has come, was given, or is over: the part is another from now on."""
         assert self.transport is not None and self.reducer is not None
         part = self.transport.leases.budget_share(now)
@@ -128,11 +130,11 @@
             self.reducer.balancer.set_budget_share(part, self.clock())
 
 
-def _rank(tun: Tunnel) -> float:
+def _queue_priority(tun: Tunnel) -> float:
     return phase.rank(tun.profile, tun.is_returning)
 
 
-def look(balancer: Balancer, waits: bool, now: float) -> phase.ServerCounts:
+def count_servers(balancer: Balancer, waits: bool, now: float) -> phase.ServerCounts:
     live = balancer.active_servers
     heard = sum(ep.reported_busy is not None or ep.process_missing for ep in live)
     cold = sum(ep.process_missing or ep.warm_at > now for ep in live)
--- a/pointgw/net/run/request_log.py
+++ b/pointgw/net/run/request_log.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
-    def step(self, step: str, request: str, reason: str = "", **fields: object) -> None:
+    def record(self, step: str, request: str, reason: str = "", **fields: object) -> None:
         """One step of a request; `reason`: counted with it."""
         self.counts[f"{step}_{reason}" if reason else step] += 1
         if _log.isEnabledFor(logging.DEBUG):
--- a/pointgw/net/run/snapshots.py
+++ b/pointgw/net/run/snapshots.py
@@ -33,11 +33,11 @@
     fingerprint: str
     membership: MembershipView
     restored: RestoredState | None
-    run: str  # of this machine
+    boot_id: str  # of this machine
     writer: snapshot_writer.SnapshotWriter | None = None
 
     @classmethod
-    def begin(cls, folder: str, start: StartUpSettings, boot: str = "") -> SnapshotRunner | None:
+    def create(cls, folder: str, start: StartUpSettings, boot: str = "") -> SnapshotRunner | None:
         """None, with a line of the log, where the folder can't be used."""
         held = snapshot_writer.open_store(folder, start.name)
         if held is None:
@@ -45,7 +45,7 @@
         store, found = held
         mark = records.fingerprint(start.names.zones, start.profiles)
         known = records_of_list(start.known_list.servers, start.known_list.addresses)
-        now, recalled, run = time.time(), None, machine_run(boot)
+        now, recalled, run = time.time(), None, read_boot_id(boot)
         if found.snapshot is None:
             _log.info("nothing remembered", extra={"fields": {"folder": folder, "lost": len(found.lost)}})
         else:
@@ -76,8 +76,9 @@
             discovery = reducer.discovery  # the one in force: a reload may have turned
             return records.Snapshot(
                 self.fingerprint, wall, reducer.index, f"{discovery[0]}:{discovery[1]}", clean,
-                in_wall_time(self.membership.kept(now), stepped), health(reducer.balancer, now, stepped),
-                figures(reducer.balancer), self.membership.lives, self.run,
+                to_wall_time(self.membership.kept(now), stepped),
+                server_health(reducer.balancer, now, stepped), learned_figures(reducer.balancer),
+                self.membership.lives, self.boot_id,
             )  # fmt: skip
 
         self.writer = snapshot_writer.SnapshotWriter(
@@ -89,7 +90,7 @@
             await self.writer.stop(clean=True)
 
 
-def machine_run(path: str) -> str:
+def read_boot_id(path: str) -> str:
     """What the machine calls its run since power-on; nothing where it does not tell."""
     try:
         with open(path, encoding="ascii", errors="replace") as file:
@@ -98,7 +99,7 @@
         return ""
 
 
-def in_wall_time(kept: tuple[records.ServerRecord, ...], stepped: float) -> tuple[records.ServerRecord, ...]:
+def to_wall_time(kept: tuple[records.ServerRecord, ...], stepped: float) -> tuple[records.ServerRecord, ...]:
     """Facts whose times are of the process's clock, which the wall clock has left by so much."""
     if not stepped:
         return kept
@@ -110,7 +111,7 @@
     )
 
 
-def health(balancer: Balancer, now: float, stepped: float = 0.0) -> tuple[records.ServerHealth, ...]:
+def server_health(balancer: Balancer, now: float, stepped: float = 0.0) -> tuple[records.ServerHealth, ...]:
     """Of the servers that are suspended, have strikes, or are cold; a doubted one has learned nothing yet."""
     return tuple(
         records.ServerHealth(
@@ -126,7 +127,7 @@
     )
 
 
-def figures(balancer: Balancer) -> records.LearnedFigures:
+def learned_figures(balancer: Balancer) -> records.LearnedFigures:
     return records.LearnedFigures(
         balancer.c, balancer.load_per_tunnel, balancer.arrival_rate, 0.0, 0, balancer.slow_start_rate
     )
--- a/pointgw/net/run/tcp.py
+++ b/pointgw/net/run/tcp.py
@@ -9,11 +9,11 @@
 import struct
 import termios
 
-FULL_BUFFER = 16 * 1024  # bytes waiting for one side after which the other is not read
+BUFFER_LIMIT = 16 * 1024  # bytes waiting for one side after which the other is not read
 NO_LINGER = struct.pack("ii", 1, 0)
 
 
-def reset(transport: asyncio.Transport) -> None:
+def abort_with_reset(transport: asyncio.Transport) -> None:
     """Ends it so that the other side sees it broken."""
     sock = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
@@ -21,7 +21,7 @@
     transport.abort()
 
 
-def unread(transport: asyncio.Transport) -> int:
+def unread_bytes(transport: asyncio.Transport) -> int:
     """Bytes that have come and were not read yet."""
     sock = transport.get_extra_info("socket")
     if sock is None or transport.is_closing():
@@ -30,7 +30,7 @@
     return waiting
 
 
-def ended(transport: asyncio.Transport) -> int:
+def peer_close_events(transport: asyncio.Transport) -> int:
     """The system's word that the other side has ended or broken it, read already or not; 0: neither."""
     sock = transport.get_extra_info("socket")
     if sock is None or transport.is_closing():
@@ -40,17 +40,17 @@
     return next((event for _, event in poll.poll(0)), 0)
 
 
-def pause(transport: asyncio.Transport | None) -> None:
+def pause_reading(transport: asyncio.Transport | None) -> None:
     if transport is not None and not transport.is_closing():
         transport.pause_reading()
 
 
-def resume(transport: asyncio.Transport | None) -> None:
+def resume_reading(transport: asyncio.Transport | None) -> None:
     if transport is not None and not transport.is_closing():
         transport.resume_reading()
 
 
-def close(transport: asyncio.Transport, line: bytes) -> None:
+def write_and_close(transport: asyncio.Transport, line: bytes) -> None:
     """A last line, and then the end at once: where its descriptor is needed for others."""
     if not transport.is_closing():
         transport.write(line)
--- a/pointgw/testbed/clients.py
+++ b/pointgw/testbed/clients.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from pointgw.net.run import tcp
-from pointgw.net.run.lingering_close import finish
+from pointgw.net.run.lingering_close import close_gracefully
 from pointgw.net.wire.lines import END, cut
 from pointgw.site import Malformed
 from pointgw.testbed import child
@@ -170,7 +170,7 @@
         """A slow reader takes a little now and then, and asks for much."""
         if self.transport is None or self.transport.is_closing() or self.client.side is not self:
             return
-        tcp.resume(self.transport)
+        tcp.resume_reading(self.transport)
         if self.answered and self.client.mood is Mood.OPEN:
             self.transport.write(b"".join(b"f%06d%s" % (i, b"x" * 90 + END) for i in range(FLOOD)))
         self.client.here.loop.call_later(SIP, self._sip)
@@ -184,7 +184,7 @@
     def data_received(self, data: bytes) -> None:
         self.buffer += data
         if self.client.wish.slow and self.answered:
-            tcp.pause(self.transport)
+            tcp.pause_reading(self.transport)
         try:
             while (line := cut(self.buffer)) is not None:
                 self._line(line)
@@ -253,7 +253,7 @@
         if self.client.mood is Mood.OPEN:
             self._ended("own")
             if self.transport is not None:
-                tcp.reset(self.transport)
+                tcp.abort_with_reset(self.transport)
             self.client.broke()
 
     def _ended(self, how: Literal["own", "moved", "bye", "lost"]) -> None:
@@ -272,7 +272,7 @@
         if self.transport is None or self.transport.is_closing():
             return
         if politely:
-            finish(self.transport)
+            close_gracefully(self.transport)
         else:
             self.transport.abort()
 
--- a/pointgw/testbed/discovery.py
+++ b/pointgw/testbed/discovery.py
@@ -53,7 +53,7 @@
         self.url = b""
         serving = self.here.roster.serving
         if serving is Serving.RESET:
-            tcp.reset(self.transport)
+            tcp.abort_with_reset(self.transport)
         elif serving is Serving.BUSY:
             self.write(503, b"busy")
         elif serving is not Serving.SILENT:
@@ -126,13 +126,13 @@
             case "lower":
                 self.roster.restart_lower()
                 for call in list(self.calls):
-                    tcp.reset(call.transport)
+                    tcp.abort_with_reset(call.transport)
             case what:
                 raise ValueError(f"unknown command {what!r}")
         if self.roster.serving in (Serving.RESET, Serving.BUSY):
             for call in list(self.calls):
                 if call.waits:
-                    tcp.reset(call.transport)
+                    tcp.abort_with_reset(call.transport)
         elif self.roster.serving is not Serving.SILENT:
             for call in list(self.calls):
                 if call.waits:
--- a/pointgw/testbed/load.py
+++ b/pointgw/testbed/load.py
@@ -10,7 +10,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from pointgw.net.run.lingering_close import finish
+from pointgw.net.run.lingering_close import close_gracefully
 from pointgw.net.wire.lines import END
 
 AFTER = 0.2  # seconds beyond the client timeout in which last answers come
@@ -37,7 +37,7 @@
             word = data.split(b" ", 1)[0].strip()
             self._answer({b"UP": "opened", b"BUSY": "declined"}.get(word, "failed"))
             if word == b"UP":
-                self.load.loop.call_later(self.load.life, finish, self.transport)
+                self.load.loop.call_later(self.load.life, close_gracefully, self.transport)
             else:
                 self.transport.close()
 
--- a/pointgw/testbed/server.py
+++ b/pointgw/testbed/server.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from pointgw.net.run import tcp
-from pointgw.net.run.lingering_close import finish
+from pointgw.net.run.lingering_close import close_gracefully
 from pointgw.net.wire.lines import END, MOVE, cut
 from pointgw.site import Malformed
 from pointgw.testbed import child
@@ -65,7 +65,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self.began = time.monotonic()
         if self.server.machine.health is Health.FALLEN:
-            tcp.reset(self.transport)
+            tcp.abort_with_reset(self.transport)
 
     def data_received(self, data: bytes) -> None:
         if self.stage is Stage.OVER:
@@ -130,9 +130,9 @@
             self.server.gone(self, by)
         self.to(Stage.OVER)
         if reset:
-            tcp.reset(self.transport)
+            tcp.abort_with_reset(self.transport)
         elif by == "server":
-            finish(self.transport)
+            close_gracefully(self.transport)
         else:
             self.transport.close()
 
--- a/tests/crossing/test_accept.py
+++ b/tests/crossing/test_accept.py
@@ -10,7 +10,7 @@
 import pytest
 
 from crossing.daemon import Daemon, beside_daemon
-from pointgw.net.run.listener import BATCH
+from pointgw.net.run.listener import ACCEPT_BATCH
 from soak.syscall_faults import Call
 
 CLIENTS = 20
@@ -80,7 +80,7 @@
         daemon.faults.fail(Call.ACCEPT, fault)
         waits = asyncio.create_task(daemon.request("r1", within=4.0))
         await asyncio.sleep(0.5)
-        assert daemon.faults.counts(Call.ACCEPT)[1] < 100 * BATCH
+        assert daemon.faults.counts(Call.ACCEPT)[1] < 100 * ACCEPT_BATCH
         daemon.faults.mend(Call.ACCEPT)
         assert await waits == b"UP r-1\r\n"
 
--- a/tests/crossing/test_hand_over.py
+++ b/tests/crossing/test_hand_over.py
@@ -54,7 +54,7 @@
         server.say(b"b\r\n" + last[:2])
         assert await client.line() == b"b\r\n"
         server.say(last[2:])
-        await until(lambda: [side for side in node.servers.values() if side.closing is not None])
+        await until(lambda: [side for side in node.servers.values() if side.end_line is not None])
         getattr(server, how)()
         assert await client.rest() == last
 
@@ -83,16 +83,16 @@
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client, server = await asked(world)
         events: list[Any] = []
-        feed = node.feed
+        feed = node.submit
 
         def hold(event: Any) -> None:
             (events.append if isinstance(event, ev.SetupOpened | ev.ClientLeft) else feed)(event)
 
-        node.feed = hold  # type: ignore[method-assign]
+        node.submit = hold  # type: ignore[method-assign]
         server.say(b"UP r-1\r\nhello\r\n")
         client.reset()
         await until(lambda: len(events) == 2)
-        node.feed = feed  # type: ignore[method-assign]
+        node.submit = feed  # type: ignore[method-assign]
         order = sorted(events, key=lambda event: isinstance(event, ev.ClientLeft) is not left_first)
         for event in order:
             feed(event)
--- a/tests/crossing/test_idle.py
+++ b/tests/crossing/test_idle.py
@@ -20,10 +20,10 @@
 async def probed(node: BalancerProcess, world: World) -> tuple[list[ProbeEnded], Any, Conn]:
     """What probes of server 0 brought, how to make one, and the connection that the first one kept."""
     told: list[ProbeEnded] = []
-    feed = node.feed
-    node.feed = lambda e: told.append(e) if isinstance(e, ProbeEnded) else feed(e)  # type: ignore[assignment]
+    feed = node.submit
+    node.submit = lambda e: told.append(e) if isinstance(e, ProbeEnded) else feed(e)  # type: ignore[assignment]
     ask = Probe("s-0", ("127.0.0.1", world.servers[0].port), 0.5, 0.2)
-    node._do(ask)
+    node._execute(ask)
     conn = await world.servers[0].conn()
     assert await conn.line() == b"STATS\r\n"
     conn.say(REPORT)
@@ -36,7 +36,7 @@
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         told, ask, conn = await probed(node, world)
         getattr(conn, how)()  # on its way as the next probe is written
-        node._do(ask)
+        node._execute(ask)
         again = await world.servers[0].conn()
         assert await again.line() == b"STATS\r\n"
         again.say(REPORT)
@@ -52,14 +52,14 @@
         told, ask, conn = await probed(node, world)
         if late:
             conn.say(b"PONG x0=9\r\n")
-            await until(lambda: "s-0" not in node.probes.open)
-            node._do(ask)
+            await until(lambda: "s-0" not in node.probes.connections)
+            node._execute(ask)
         else:
-            node._do(ask)
+            node._execute(ask)
             assert await conn.line() == b"STATS\r\n"
             conn.say(REPORT + b"PONG x0=9\r\n")
             await until(lambda: len(told) == 2)
-            node._do(ask)
+            node._execute(ask)
         again = await world.servers[0].conn()
         assert await again.line() == b"STATS\r\n"
         again.say(REPORT)
@@ -72,16 +72,16 @@
 def test_a_probes_dial_that_was_given_up_acts_on_nothing() -> None:
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         told: list[ProbeEnded] = []
-        feed = node.feed
-        node.feed = lambda e: told.append(e) if isinstance(e, ProbeEnded) else feed(e)  # type: ignore[assignment]
+        feed = node.submit
+        node.submit = lambda e: told.append(e) if isinstance(e, ProbeEnded) else feed(e)  # type: ignore[assignment]
         loop.before = asyncio.Event()
         ask = Probe("s-0", ("127.0.0.1", world.servers[0].port), 0.5, 0.1)
-        node._do(ask)
+        node._execute(ask)
         await until(lambda: len(told) == 1)
         assert told[0].ending == "no-connection"
         loop.before.set()
         await turns()
-        node._do(ask)
+        node._execute(ask)
         conn = await world.servers[0].conn()
         assert await conn.line() == b"STATS\r\n"
         conn.say(REPORT)
@@ -94,10 +94,10 @@
 def test_a_probes_dial_that_came_up_as_its_time_ran_out_is_judged_by_its_answer() -> None:
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         told: list[ProbeEnded] = []
-        feed = node.feed
-        node.feed = lambda e: told.append(e) if isinstance(e, ProbeEnded) else feed(e)  # type: ignore[assignment]
+        feed = node.submit
+        node.submit = lambda e: told.append(e) if isinstance(e, ProbeEnded) else feed(e)  # type: ignore[assignment]
         loop.after = asyncio.Event()
-        node._do(Probe("s-0", ("127.0.0.1", world.servers[0].port), 1.0, 0.1))
+        node._execute(Probe("s-0", ("127.0.0.1", world.servers[0].port), 1.0, 0.1))
         conn = await world.servers[0].conn()
         assert await conn.line() == b"STATS\r\n"
         await asyncio.sleep(0.15)  # the dial's time is over, and it has not come back
@@ -114,8 +114,8 @@
         await until(lambda: node.connections.idle)
         client.sock.setblocking(False)
         os.write(client.sock.fileno(), opening())  # in the balancer's socket, not read
-        node.first_within = 0.0
-        node._look()
+        node.first_line_timeout = 0.0
+        node._check_timeouts()
         _, server = await world.setup()
         await server.line()
         server.say(b"UP r-1\r\n")
@@ -128,17 +128,17 @@
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         await until(lambda: len(node.connections.idle) == 1)
-        came = node.accepted
+        came = node.client_accepted
 
         def hold(side: Any) -> None:
             os.write(client.sock.fileno(), opening())
-            node.descriptors = 0
-            node.accepted = came  # type: ignore[method-assign]
+            node.descriptor_budget = 0
+            node.client_accepted = came  # type: ignore[method-assign]
             came(side)
-            node.descriptors = 500
+            node.descriptor_budget = 500
 
         client.sock.setblocking(False)
-        node.accepted = hold  # type: ignore[method-assign]
+        node.client_accepted = hold  # type: ignore[method-assign]
         await world.client()
         _, server = await world.setup()
         await server.line()
@@ -153,8 +153,8 @@
         client = await world.client()
         client.say(opening()[:20])
         await until(lambda: [side for side in node.connections.idle if side.buffer])
-        node.first_within = 0.0
-        node._look()
+        node.first_line_timeout = 0.0
+        node._check_timeouts()
         client.say(opening()[20:])
         _, server = await world.setup()
         assert await server.line()
@@ -197,7 +197,7 @@
         await until(lambda: len(node.connections.lingering) == 6)
         rests = await world.client()
         await until(lambda: len(node.connections.idle) == 1)
-        node.descriptors = 7
+        node.descriptor_budget = 7
         await world.opened()
         await until(lambda: len(node.connections.lingering) < 6)
         assert len(node.connections.idle) == 1
--- a/tests/crossing/test_own_faults.py
+++ b/tests/crossing/test_own_faults.py
@@ -12,7 +12,7 @@
 from pointgw.net.invariant import violations
 from pointgw.net.run import server as server_module
 from pointgw.net.run.balancer_process import BalancerProcess
-from pointgw.net.run.periodic import Periodic
+from pointgw.net.run.periodic import PeriodicTimer
 from pointgw.policy import Balancer
 
 
@@ -43,7 +43,7 @@
             if len(done) == 1:
                 raise RuntimeError("a fault that a test put here")
 
-        periodic = Periodic(asyncio.get_running_loop(), "test", lambda: 0.01, work)
+        periodic = PeriodicTimer(asyncio.get_running_loop(), "test", lambda: 0.01, work)
         periodic.run()
         await asyncio.sleep(0.1)
         periodic.stop()
@@ -90,8 +90,8 @@
 
 def test_an_attempt_that_cannot_be_begun_is_followed_by_another(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
-        begin = server_module.ServerSide.__init__
-        monkeypatch.setattr(server_module.ServerSide, "__init__", failing(1, begin))
+        begin = server_module.ServerConnection.__init__
+        monkeypatch.setattr(server_module.ServerConnection, "__init__", failing(1, begin))
         await world.opened()
         assert violations["effect_failed"] == 1
 
--- a/tests/crossing/test_probe_connections.py
+++ b/tests/crossing/test_probe_connections.py
@@ -30,7 +30,7 @@
 
 
 def kept(node: BalancerProcess) -> int:
-    return sum(side.link is not None for side in node.probes.open.values())
+    return sum(side.link is not None for side in node.probes.connections.values())
 
 
 def test_connections_kept_for_probes_leave_the_descriptors_to_clients() -> None:
@@ -44,7 +44,7 @@
                 assert await client.line() == b"UP r-1\r\n", f"request {number} of {REQUESTS}"
                 client.close()
                 most = max(most, kept(node))
-            assert most <= node.descriptors // 4
+            assert most <= node.descriptor_budget // 4
         finally:
             answering.cancel()
 
@@ -75,11 +75,13 @@
         answering = asyncio.create_task(answer_requests(world))
         try:
             address = ("127.0.0.1", world.servers[0].port)
-            node.probes.ask(Probe("s-0", address, 0.5, 0.5))
-            await until(lambda: "s-0" in node.probes.open and node.probes.open["s-0"].asked is None)
+            node.probes.send(Probe("s-0", address, 0.5, 0.5))
+            await until(
+                lambda: "s-0" in node.probes.connections and node.probes.connections["s-0"].probe is None
+            )
             moved = ("127.0.0.1", world.servers[1].port)
             taken = len(world.servers[1].conns)
-            node.probes.ask(Probe("s-0", moved, 0.5, 0.5))
+            node.probes.send(Probe("s-0", moved, 0.5, 0.5))
             await until(lambda: len(world.servers[1].conns) > taken)
         finally:
             answering.cancel()
--- a/tests/crossing/test_setup.py
+++ b/tests/crossing/test_setup.py
@@ -58,7 +58,7 @@
 
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         events: list[Any] = []
-        feed = node.feed
+        feed = node.submit
 
         def hold(event: Any) -> None:
             if isinstance(event, ev.SetupConnected | ev.ClientLeft):
@@ -66,13 +66,13 @@
             else:
                 feed(event)
 
-        node.feed = hold  # type: ignore[method-assign]
+        node.submit = hold  # type: ignore[method-assign]
         client = await world.client()
         client.say(opening())
         await until(lambda: events)
         client.reset()
         await until(lambda: len(events) == 2)
-        node.feed = feed  # type: ignore[method-assign]
+        node.submit = feed  # type: ignore[method-assign]
         left_at = time.monotonic()
         for event in events[::-1] if left_first else events:
             feed(event)
@@ -119,7 +119,7 @@
         (side,) = node.clients.values()
         side.transport.pause_reading()  # its end is not read for as long as this lasts
         getattr(client, how)()
-        await until(lambda: tcp.ended(side.transport))
+        await until(lambda: tcp.peer_close_events(side.transport))
         loop.before.set()
         await until(lambda: not node.servers)
         await turns()
@@ -138,7 +138,7 @@
         (side,) = node.clients.values()
         side.transport.pause_reading()
         getattr(client, how)()
-        await until(lambda: tcp.ended(side.transport))
+        await until(lambda: tcp.peer_close_events(side.transport))
         server.say(b"BUSY\r\n")
         await until(lambda: not node.reducer.clients)
         await turns()
@@ -167,7 +167,7 @@
         client.say(opening())
         await loop.dialling.wait()
         (side,) = node.servers.values()
-        away = next(i for i, peer in enumerate(world.servers) if peer.port == side.asked.address[1])
+        away = next(i for i, peer in enumerate(world.servers) if peer.port == side.attempt.address[1])
         world.watch.answer(2, world.line(away, status="draining"))
         await until(lambda: node.reducer.index == 2)
         loop.before.set()
@@ -233,7 +233,7 @@
         await server.line()
         (side,) = node.servers.values()
         server.say(b"UP r-1\r\n")  # written at once: it waits in the balancer's socket, not read yet
-        side._late()
+        side._timed_out()
         if profile:
             assert await client.rest() == b"ERR\r\n"
             assert sum(len(peer.conns) for peer in world.servers) == 1
@@ -283,19 +283,19 @@
 def test_an_end_of_the_server_before_the_line_was_written_proves_that_it_never_ran() -> None:
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         held: list[Any] = []
-        feed = node.feed
+        feed = node.submit
 
         def hold(event: Any) -> None:
             (held.append if isinstance(event, ev.SetupConnected) else feed)(event)
 
-        node.feed = hold  # type: ignore[method-assign]
+        node.submit = hold  # type: ignore[method-assign]
         client = await world.client()
         client.say(opening())
         await until(lambda: held)
         _, server = await world.setup()
         server.reset()
         await until(lambda: len(held) == 2)  # the next one is up: the first was known not to have run
-        node.feed = feed  # type: ignore[method-assign]
+        node.submit = feed  # type: ignore[method-assign]
         feed(held[0])  # that of the one that is gone changes nothing
         feed(held[1])
         _, second = await world.setup()
--- a/tests/crossing/test_shutdown.py
+++ b/tests/crossing/test_shutdown.py
@@ -63,7 +63,7 @@
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         client = await world.client()
         await until(lambda: node.connections.idle)
-        do = node._do
+        do = node._execute
 
         def hold(effect: Any) -> None:
             if isinstance(effect, fx.CloseIdleClients) and not client.writer.is_closing():
@@ -71,7 +71,7 @@
                 os.write(client.sock.fileno(), opening())
             do(effect)
 
-        node._do = hold  # type: ignore[method-assign]
+        node._execute = hold  # type: ignore[method-assign]
         node.stop()
         assert await client.rest() == b"BUSY\r\n"
         assert not world.sent()
@@ -82,7 +82,7 @@
 def test_one_in_the_accept_backlog_as_the_balancer_leaves_is_answered() -> None:
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         late: list[socket.socket] = []
-        do = node._do
+        do = node._execute
 
         def hold(effect: Any) -> None:
             if isinstance(effect, fx.ExitProcess) and not late:
@@ -90,7 +90,7 @@
                 late[0].sendall(opening())
             do(effect)
 
-        node._do = hold  # type: ignore[method-assign]
+        node._execute = hold  # type: ignore[method-assign]
         node.stop()
         await until(lambda: late)
         late[0].setblocking(False)
--- a/tests/crossing/test_size.py
+++ b/tests/crossing/test_size.py
@@ -35,7 +35,7 @@
 def test_a_thousand_servers_and_balancers_all_the_way_to_a_tunnel() -> None:
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         assert isinstance(world, Large)
-        assert len(node.reducer.balancer.active_servers) == MANY == len(node.start.peers)
+        assert len(node.reducer.balancer.active_servers) == MANY == len(node.start_up.peers)
         await world.opened()
         before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
         began = time.monotonic()
--- a/tests/crossing/test_watch.py
+++ b/tests/crossing/test_watch.py
@@ -135,14 +135,14 @@
 def test_a_call_that_fails_fails_once_and_the_list_stays(answer: bytes) -> None:
     async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
         failed = 0
-        feed = node.feed
+        feed = node.submit
 
         def count(event: object) -> None:
             nonlocal failed
             failed += type(event).__name__ == "ListRequestFailed"
             feed(event)  # type: ignore[arg-type]
 
-        node.feed = count  # type: ignore[method-assign]
+        node.submit = count  # type: ignore[method-assign]
         watch = await away(world, world.watch, 2)
         watch.conn.say(answer)
         if not answer:
@@ -193,7 +193,7 @@
         other = type(world.discovery)()
         await other.start()
         world.watch.answer(9, world.line(1, status="draining"))  # in the socket, not read yet
-        node.feed(SettingsReloaded(("127.0.0.1", other.port), node.start.names))
+        node.submit(SettingsReloaded(("127.0.0.1", other.port), node.start_up.names))
         call = await other.call()
         assert b"from=" not in call.head
         call.answer(3, world.line(0, status="draining"), world.line(1), whole=True)
@@ -214,7 +214,7 @@
         world.watch.conn.reset()
         await until(loop.up.is_set, 8)  # the new call's connection is up, and its dial has not come back
         old = node.discovery
-        node.feed(SettingsReloaded(("127.0.0.1", other.port), node.start.names))
+        node.submit(SettingsReloaded(("127.0.0.1", other.port), node.start_up.names))
         loop.after.set()
         call = await other.call()
         assert node.discovery is not old and old.link is None
--- a/tests/crossing/world.py
+++ b/tests/crossing/world.py
@@ -268,8 +268,8 @@
         finally:
             if not node.ended.done():
                 node.ended.set_result(None)
-            if not node.heard.done():
-                node.heard.set_result(None)
+            if not node.discovery_answered.done():
+                node.discovery_answered.set_result(None)
             await serving
             world.stop()
 
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -62,7 +62,7 @@
     path.write_text('[log]\nlevel = "warning"\nstate_every = 2.5\n')
     level = logging.getLogger().level
     try:
-        held = OperatorFile.begin(str(path))
+        held = OperatorFile.load(str(path))
         assert held is not None and held.state_every == 2.5
         path.write_text(WRONG)
         held.reload()
@@ -73,7 +73,7 @@
     finally:
         logging.getLogger().setLevel(level)
     path.write_text(WRONG)
-    assert OperatorFile.begin(str(path)) is None
+    assert OperatorFile.load(str(path)) is None
 
 
 def test_the_daemon_loads_neither_commands_nor_rig() -> None:
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pointgw.net.run.connection_state import NEXT, ConnectionLifecycle, ConnectionState, DeliveryState
+from pointgw.net.run.connection_state import TRANSITIONS, ConnectionLifecycle, ConnectionState, DeliveryState
 
 
 def walk(*stages: ConnectionState) -> ConnectionLifecycle:
@@ -15,20 +15,25 @@
 @pytest.mark.parametrize(
     ("stages", "known", "late", "broken"),
     [
-        ((ConnectionState.DIALLING,), DeliveryState.NOT_SENT, "no-connection", "no-connection"),
-        ((ConnectionState.DIALLING, ConnectionState.WRITTEN), DeliveryState.MAY_HAVE_RUN, "timeout", "reset"),
+        ((ConnectionState.CONNECTING,), DeliveryState.NOT_SENT, "no-connection", "no-connection"),
         (
-            (ConnectionState.DIALLING, ConnectionState.WRITTEN, ConnectionState.ANSWERED),
+            (ConnectionState.CONNECTING, ConnectionState.REQUEST_SENT),
+            DeliveryState.MAY_HAVE_RUN,
+            "timeout",
+            "reset",
+        ),
+        (
+            (ConnectionState.CONNECTING, ConnectionState.REQUEST_SENT, ConnectionState.ANSWERED),
             DeliveryState.RAN,
             "timeout",
             "reset",
         ),
         (
             (
-                ConnectionState.DIALLING,
-                ConnectionState.WRITTEN,
+                ConnectionState.CONNECTING,
+                ConnectionState.REQUEST_SENT,
                 ConnectionState.ANSWERED,
-                ConnectionState.JOINED,
+                ConnectionState.RELAYING,
             ),
             DeliveryState.RAN,
             "timeout",
@@ -41,14 +46,16 @@
 ) -> None:
     life = walk(*stages)
     assert (life.delivery, life.timeout_ending(), life.disconnect_ending()) == (known, late, broken)
-    life.transition_to(ConnectionState.ENDED)  # and stays known afterwards
-    assert life.over and life.delivery is known
+    life.transition_to(ConnectionState.CLOSED)  # and stays known afterwards
+    assert life.is_closing and life.delivery is known
 
 
 def test_nothing_follows_an_end_and_no_step_is_left_out() -> None:
-    assert NEXT[ConnectionState.ENDED] == () and NEXT[ConnectionState.HALF_CLOSED] == (ConnectionState.ENDED,)
-    assert set(NEXT) == set(ConnectionState)
-    for stage, stages in NEXT.items():
+    assert TRANSITIONS[ConnectionState.CLOSED] == () and TRANSITIONS[ConnectionState.HALF_CLOSED] == (
+        ConnectionState.CLOSED,
+    )
+    assert set(TRANSITIONS) == set(ConnectionState)
+    for stage, stages in TRANSITIONS.items():
         for other in ConnectionState:
             if other not in stages:
                 with pytest.raises(ValueError, match="cannot become"):
@@ -56,7 +63,7 @@
 
 
 def test_only_the_write_makes_a_request_one_that_may_have_run() -> None:
-    before = [stage for stage, stages in NEXT.items() if ConnectionState.WRITTEN in stages]
-    assert before == [ConnectionState.DIALLING]
+    before = [stage for stage, stages in TRANSITIONS.items() if ConnectionState.REQUEST_SENT in stages]
+    assert before == [ConnectionState.CONNECTING]
     for stage in ConnectionState:
         assert ConnectionLifecycle(stage).delivery is DeliveryState.NOT_SENT
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -237,7 +237,7 @@
 def test_what_operators_wrote_wrongly_is_told_in_a_line(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], text: str, fault: str
 ) -> None:
-    assert RecoveryRunner.begin(file(tmp_path, text), told()) is None
+    assert RecoveryRunner.create(file(tmp_path, text), told()) is None
     (line,) = capfd.readouterr().err.splitlines()
     assert fault in line
 
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -21,7 +21,7 @@
 from pointgw.net.core.effects import Effect, SetTimer
 from pointgw.net.core.events import Event, TimerDue
 from pointgw.net.run.balancer_process import BalancerProcess
-from pointgw.net.run.log import KeyValue
+from pointgw.net.run.log import KeyValueFormatter
 from pointgw.net.wire.start_up import parse_start_up_file
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -289,14 +289,14 @@
     way: Script | None,
 ) -> None:
     async def scene(node: BalancerProcess, there: StandIn, client: Callable[[], Awaitable[Streams]]) -> None:
-        node.first_within = 0.3
+        node.first_line_timeout = 0.3
         reader, _ = await client()
         assert await reader.read(-1) == b"ERR\r\n"
-        node.first_within, node.descriptors = 60.0, 8
+        node.first_line_timeout, node.descriptor_budget = 60.0, 8
         silent = [await client() for _ in range(30)]
         await opened(client)
         # Guards against a process that has no descriptor left for a client that speaks.
-        assert len(node.connections.idle) <= 8 and node.turned_away["no descriptors"] >= 20
+        assert len(node.connections.idle) <= 8 and node.refusals["no descriptors"] >= 20
         assert await silent[0][0].read(-1) == b"BUSY\r\n"  # its line may be on its way
 
     with_node(echo, scene, way)
@@ -313,7 +313,7 @@
         reader, writer = await client()
         writer.write(OPEN)
         await reader.readline()
-        assert node.turned_away["bad report"] >= bad and (bad or not node.turned_away)
+        assert node.refusals["bad report"] >= bad and (bad or not node.refusals)
         writer.close()
 
     with_node(play, scene)
@@ -353,7 +353,7 @@
 
         node.reducer.dispatch = take  # type: ignore[method-assign]
         for delay in (0.3, 0.2, 0.0, 0.1):
-            node._carry_out([SetTimer(delay)])
+            node._execute_all([SetTimer(delay)])
         await asyncio.sleep(0.4)
         assert ticks == 1
 
@@ -380,7 +380,7 @@
         for data, says in ((b"{", "start-up JSON"), (told(1, 2, taken.getsockname()[1]), "in use")):
             path.write_bytes(data)
             monkeypatch.setenv("GW_CONFIG", str(path))
-            monkeypatch.setattr("pointgw.net.run.log.begin", lambda level: None)
+            monkeypatch.setattr("pointgw.net.run.log.configure", lambda level: None)
             assert main() > 0
             plain = [line for line in capfd.readouterr().err.splitlines() if line.startswith("pointgw: ")]
             assert len(plain) == 1 and says in plain[0]
@@ -389,5 +389,5 @@
 def test_log_lines_are_key_and_value() -> None:
     record = logging.LogRecord("a.b", logging.INFO, "", 0, "state", None, None)
     record.fields = {"open": 3, "why": 'no "answer"', "c": 0.51234}
-    shown = KeyValue().format(record)
+    shown = KeyValueFormatter().format(record)
     assert shown.endswith('level=info from=a.b event=state open=3 why="no \\"answer\\"" c=0.5123')
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -185,7 +185,7 @@
 def test_a_newer_form_is_refused_and_left_untouched(tmp_path: Path, caplog: Any) -> None:
     (tmp_path / "state.3").write_bytes(newer())
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
-    assert SnapshotRunner.begin(str(tmp_path), started()) is None
+    assert SnapshotRunner.create(str(tmp_path), started()) is None
     assert before["state.3"] == (tmp_path / "state.3").read_bytes()
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == ["left untouched"]
 
@@ -393,14 +393,14 @@
     boot = folder / "boot"
     boot.write_text("one\n")
     if facts:
-        mark = SnapshotRunner.begin(str(folder), started(), str(boot))
+        mark = SnapshotRunner.create(str(folder), started(), str(boot))
         assert mark is not None
         told = memory(*facts, written=now if written is None else written)
         mark.store.save(
             snapshot_format.encode(msgspec.structs.replace(told, fingerprint=mark.fingerprint, run=run))
         )
         mark.store.release()
-    made = SnapshotRunner.begin(str(folder), started(), str(boot))
+    made = SnapshotRunner.create(str(folder), started(), str(boot))
     assert made is not None
     reducer = Reducer(started(), now, membership=made.membership, recalled=made.restored)
     if made.restored is not None:
@@ -484,7 +484,7 @@
     store.claim("n9")
     store.save(snapshot_format.encode(memory()))
     store.release()
-    assert SnapshotRunner.begin(str(tmp_path), started()) is None
+    assert SnapshotRunner.create(str(tmp_path), started()) is None
     assert "left untouched" in [record.getMessage() for record in caplog.records]
     assert SnapshotStore(str(tmp_path)).load().snapshot == memory()
 
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -525,10 +525,10 @@
         )
         ways.transport = ClusterTransport(tier, (), loop, lambda now: None, lambda now: None)
         began = loop.time()
-        ways._write(0.0)
+        ways._write_status(0.0)
         took = loop.time() - began
-        assert ways.writing is not None
-        await ways.writing
+        assert ways.status_write is not None
+        await ways.status_write
         return took
 
     assert asyncio.run(write()) < 0.2
