--- a/tests/crossing/test_shutdown.py
+++ b/tests/crossing/test_shutdown.py
@@ -227,7 +227,7 @@
         recovery.go.set()
         await until(lambda: tier.stopped == recovery.stopped == 1)
 
-    play(scene, World(), tiering=tier, recovering=recovery)
+    play(scene, World(), cluster=tier, recovery=recovery)
 
 
 def test_new_connections_are_served_until_they_no_longer_come() -> None:
