--- a/pointgw/net/core/reducer.py
+++ b/pointgw/net/core/reducer.py
@@ -41,7 +41,9 @@
 if TYPE_CHECKING:
     from pointgw.state.restore import MembershipView, RestoredState
 
-PUSHED_AGAIN = 0.25  # of the grace after a telling: the pause after a failed call, where lists are pushed
+PUSHED_RETRY_SHARE = (
+    0.25  # of the grace after a telling: the pause after a failed call, where lists are pushed
+)
 # Seconds after which what a discovery in reach has counts as told, whatever failed before; and after the wait
 # of a call that may wait. In half of the latter a call in reach is answered.
 LIST_DEADLINE_SECONDS, WATCH_DEADLINE_SECONDS = 6.0, 2.0
@@ -55,15 +57,20 @@
 FIRST_RETRY_PAUSE_SECONDS = (
     NEXT_REQUEST_SECONDS / 8
 )  # after the first that fails; then doubled each time, by chance cut by up to half
-HOLD = 0.5  # of the time after which a balancer that does not ask counts as told: how long a watch waits
-AGAIN = 0.25  # seconds until a tunnel that stood before the run is asked for again
-LEAST = 0.01  # seconds: the shortest such pause
+WATCH_WAIT_SHARE = (
+    0.5  # of the time after which a balancer that does not ask counts as told: how long a watch waits
+)
+INHERITED_RETRY_SECONDS = 0.25  # seconds until a tunnel that stood before the run is asked for again
+MIN_PUSHED_RETRY_SECONDS = 0.01  # seconds: the shortest such pause
 INHERITED_TIMEOUT_SECONDS = 40.0  # seconds in which such a tunnel must be up
 STOP_ACCEPT_SECONDS = 0.5  # seconds after the signal to stop in which new connections still come
-STEP = 0.1  # seconds between two rounds of moves while stopping
+STOP_ROUND_SECONDS = 0.1  # seconds between two rounds of moves while stopping
 STOP_SETTLE_SECONDS = 0.3  # seconds that the last moves have to arrive
-SPARE = 0.1  # seconds that are left for the end of the process
-KILL_AFTER, LONGEST = 0.7, 3.0  # it is killed that long after the longest client timeout, at most this
+EXIT_MARGIN_SECONDS = 0.1  # seconds that are left for the end of the process
+KILL_DELAY_SECONDS, MAX_STOP_SECONDS = (
+    0.7,
+    3.0,
+)  # it is killed that long after the longest client timeout, at most this
 
 
 @dataclass(slots=True, eq=False)
@@ -92,30 +99,39 @@
         self.membership = membership  # what a memory keeps; None: nothing is kept
         self.on_declined: Callable[[Tunnel], None] | None = None  # the tier counts them
         self.effects: list[effects.Effect] = []
-        self.later: list[tuple[Tunnel, int, Ending]] = []  # ends that follow from what was asked for
+        self.pending_endings: list[
+            tuple[Tunnel, int, Ending]
+        ] = []  # ends that follow from what was asked for
         self.clients: dict[int, Client] = {}
         self.client_of: dict[Tunnel, Client] = {}
         self.addresses: dict[str, effects.Address] = {}
         self.list_version: int | None = start.known_list.version
         self.discovery = start.discovery
-        self.called: set[str] = set()  # the names of those in `clients`
-        self.asking = False
-        self.wake_at = inf
+        self.tunnel_names: set[str] = set()  # the names of those in `clients`
+        self.list_requested = False
+        self.timer_due_at = inf
         self.now = now
         self.stop_requested_at = inf  # when the signal to stop came
-        self.moved_at = -inf  # when tunnels were last moved off since
+        self.last_migration_at = -inf  # when tunnels were last moved off since
         self.exiting = False  # the last of it was asked for
         self.profiles = {name: i for i, name in enumerate(start.profiles)}
         self.tenants = {name: i for i, name in enumerate(start.tenants)}
         self.connect_timeout = start.connect_timeout
-        self.watch_wait = HOLD * start.site.list_poll_interval
+        self.watch_wait = WATCH_WAIT_SHARE * start.site.list_poll_interval
         self.retry_pause = FIRST_RETRY_PAUSE_SECONDS  # after the next call that fails
-        self.waits, self.calls_at = False, now  # whether the last call may wait; when it went out
+        self.request_is_watch, self.request_sent_at = (
+            False,
+            now,
+        )  # whether the last call may wait; when it went out
         # Rule 3: what a list that is pushed has to tell counts at once, so it is asked for without a pause.
         self.list_is_pushed = not start.site.list_is_polled
-        self.again_after = max(PUSHED_AGAIN * start.drain_grace, start.site.timer_resolution, LEAST)
+        self.pushed_retry_pause = max(
+            PUSHED_RETRY_SHARE * start.drain_grace, start.site.timer_resolution, MIN_PUSHED_RETRY_SECONDS
+        )
         self.max_client_timeout = max(p.client_timeout for p in start.site.profiles)
-        self.stop_time_limit = min(self.max_client_timeout, LONGEST) + KILL_AFTER - SPARE
+        self.stop_time_limit = (
+            min(self.max_client_timeout, MAX_STOP_SECONDS) + KILL_DELAY_SECONDS - EXIT_MARGIN_SECONDS
+        )
         rng = Random(start.seed)
         self.uniform = rng.uniform
         self.balancer = policy(replace(start.site, list_is_polled=True), self, rng, now)
@@ -123,30 +139,30 @@
         self.start_times = StartTimes(start.site.warm_up_window)
         self.guard = DeliveryGuard(start.site.only_draining_excludes)
         if recalled is None:
-            self._list(start.known_list, True, now)
+            self._update_list(start.known_list, True, now)
         else:
             self.list_version = None  # the whole list is asked for: who else counts its versions is not known
-            self._list(ServerList(0, True, recalled.entries, recalled.addresses), True, now)
+            self._update_list(ServerList(0, True, recalled.entries, recalled.addresses), True, now)
 
     def dispatch(self, event: Event, now: float) -> list[effects.Effect]:
         """The one entry: changes the state and gives the effects, in order."""
         self.now = now
         match event:
             case ClientArrived():
-                self._arrived(event)
+                self._client_arrived(event)
             case ClientLeft():
-                self._left(event)
+                self._client_left(event)
             case SetupConnected():
-                self._dialled(event)
+                self._setup_connected(event)
             case SetupOpened():
-                self._opened(event)
+                self._setup_opened(event)
             case SetupEnded():
-                self._ended(event)
+                self._setup_ended(event)
             case LoadReported():
                 if event.client in self.clients:
                     self.balancer.record_load(self.clients[event.client].tunnel, event.load.load / 1e6, now)
             case ServerSlow():
-                self._slow(event)
+                self._server_slow(event)
             case ProbeEnded():
                 if self.membership is not None and event.ending == "ok":
                     self.membership.confirm_alive(event.server, now)
@@ -154,18 +170,18 @@
                     self.balancer.servers[event.server], event.ending, event.report, now
                 )
             case ListReceived():
-                self._told(event)
+                self._list_received(event)
             case ListRequestFailed():
-                self._list_failed(event)
+                self._list_request_failed(event)
             case SettingsReloaded():
-                self._reloaded(event)
+                self._settings_reloaded(event)
             case TimerDue():
-                self._tick()
+                self._timer_due()
             case StopRequested():
                 self._stop_requested()
-        while self.later:
-            tun, number, ending = self.later.pop(0)
-            self._over(tun, number, ending, True, {})
+        while self.pending_endings:
+            tun, number, ending = self.pending_endings.pop(0)
+            self._end_setup(tun, number, ending, True, {})
         return self.pop_effects()
 
     def pop_effects(self) -> list[effects.Effect]:
@@ -174,13 +190,13 @@
 
     # Clients.
 
-    def _arrived(self, event: ClientArrived) -> None:
+    def _client_arrived(self, event: ClientArrived) -> None:
         opening, now = event.request, self.now
         profile = self.profiles.get(opening.profile)
         if not check_invariant(event.client not in self.clients, "a client arrives once"):
             return
         # Guards against the name of another client's tunnel: servers fail it, and would seem to be at fault.
-        taken = opening.name in self.called
+        taken = opening.name in self.tunnel_names
         if (
             profile is None
             or taken
@@ -201,15 +217,15 @@
         )  # fmt: skip
         client = Client(event.client, opening, tun, now)
         self.clients[event.client] = self.client_of[tun] = client
-        self.called.add(opening.name)
+        self.tunnel_names.add(opening.name)
         if opening.current_server:
             client.previous_server = self.balancer.servers[opening.current_server]
-            self._stand(client, 0.0)
+            self._connect_to_previous(client, 0.0)
         else:
-            self.guard.arrived(event.client, tun.profile, now + patience)
+            self.guard.request_arrived(event.client, tun.profile, now + patience)
             self.balancer.tunnel_arrived(tun, False, now)
 
-    def _stand(self, client: Client, after: float) -> None:
+    def _connect_to_previous(self, client: Client, after: float) -> None:
         """A tunnel that stood before the run goes to its server, whatever the module would choose."""
         assert client.previous_server is not None
         address = self.addresses[client.previous_server.name]
@@ -226,12 +242,12 @@
             )
         )
 
-    def _left(self, event: ClientLeft) -> None:
+    def _client_left(self, event: ClientLeft) -> None:
         client = self.clients.get(event.client)
         if client is None:
             return
         client.answered = True
-        self.guard.left(event.client)
+        self.guard.client_left(event.client)
         tun = client.tunnel
         was_open = tun.state is State.OPEN
         self.balancer.client_left(tun, self.now)
@@ -241,20 +257,20 @@
         elif was_open:
             number = len(tun.setups) - 1
             self.effects.append(effects.AbandonSetup(client.number, number, event.reset))
-            self.later.append((tun, number, "cancelled"))
-        self._forget_done(client)
+            self.pending_endings.append((tun, number, "cancelled"))
+        self._forget_if_finished(client)
 
-    def _forget_done(self, client: Client) -> None:
+    def _forget_if_finished(self, client: Client) -> None:
         if client.tunnel.is_finished and client.previous_server is None:
             check_invariant(client.answered, "a tunnel ends with a final answer")
             self.clients.pop(client.number, None)
             self.client_of.pop(client.tunnel, None)
             self.guard.forget(client.number)
-            self.called.discard(client.request.name)
+            self.tunnel_names.discard(client.request.name)
 
     # Setups.
 
-    def _dialled(self, event: SetupConnected) -> None:
+    def _setup_connected(self, event: SetupConnected) -> None:
         """What was decided before the dial is looked at again: the client, the list and the clock went on."""
         client = self.clients.get(event.client)
         if client is not None and client.previous_server is None:
@@ -264,14 +280,14 @@
             if not may_write or not self.guard.may_send(event.client, number, server, self.now):
                 self.effects.append(effects.AbandonSetup(event.client, number))
                 if tun.setups[number].in_progress:
-                    self._over(tun, number, "moot", False, {})
+                    self._end_setup(tun, number, "moot", False, {})
                 return
         elif client is None:
             self.effects.append(effects.AbandonSetup(event.client, event.setup))
             return
         self.effects.append(effects.WriteRequest(event.client, event.setup))
 
-    def _opened(self, event: SetupOpened) -> None:
+    def _setup_opened(self, event: SetupOpened) -> None:
         client = self.clients.get(event.client)
         if client is None:
             self.effects.append(effects.AbandonSetup(event.client, event.setup))
@@ -284,20 +300,20 @@
             self.balancer.setup_opened(tun, event.setup, self.now)
         if tun.state is State.OPEN and event.setup == len(tun.setups) - 1:
             client.answered = True
-            self.guard.answered(client.number)
+            self.guard.request_answered(client.number)
             self.effects.append(effects.RelayTunnel(client.number, event.setup))
         else:  # given up meanwhile
             self.effects.append(effects.AbandonSetup(client.number, event.setup))
-            self.later.append((tun, event.setup, "cancelled"))
+            self.pending_endings.append((tun, event.setup, "cancelled"))
 
-    def _ended(self, event: SetupEnded) -> None:
+    def _setup_ended(self, event: SetupEnded) -> None:
         client = self.clients.get(event.client)
         if client is None:
             return
         tun, ending = client.tunnel, event.end_line.ending
         if client.previous_server is not None:
             if self.now - client.arrived_at < INHERITED_TIMEOUT_SECONDS:
-                self._stand(client, AGAIN)
+                self._connect_to_previous(client, INHERITED_RETRY_SECONDS)
             else:
                 client.previous_server = None
                 self.balancer.client_left(tun, self.now)
@@ -306,9 +322,9 @@
         was_open = tun.state is State.OPEN
         if was_open:
             self.effects.append(effects.CloseClient(client.number, event.reset))
-        self._over(tun, event.setup, ending, was_open, event.end_line.report)
+        self._end_setup(tun, event.setup, ending, was_open, event.end_line.report)
 
-    def _over(self, tun: Tunnel, number: int, ending: Ending, closed: bool, report: Report) -> None:
+    def _end_setup(self, tun: Tunnel, number: int, ending: Ending, closed: bool, report: Report) -> None:
         client = self.client_of.get(tun)
         if client is None:
             return
@@ -316,11 +332,11 @@
             number < len(tun.setups) and tun.setups[number].in_progress, "a setup ends once"
         ):
             return
-        self.guard.ended(client.number, number, ending)
+        self.guard.attempt_ended(client.number, number, ending)
         self.balancer.setup_ended(tun, number, ending, closed, report, self.now)
-        self._forget_done(client)
+        self._forget_if_finished(client)
 
-    def _slow(self, event: ServerSlow) -> None:
+    def _server_slow(self, event: ServerSlow) -> None:
         client = self.clients.get(event.client)
         if client is None or client.tunnel.state is not State.OPEN:
             return
@@ -331,40 +347,44 @@
 
     # The list and the clock.
 
-    def _told(self, event: ListReceived) -> None:
-        self.asking, self.list_version, self.retry_pause = (
+    def _list_received(self, event: ListReceived) -> None:
+        self.list_requested, self.list_version, self.retry_pause = (
             False,
             event.server_list.version,
             FIRST_RETRY_PAUSE_SECONDS,
         )
-        self._ask(self.watch_wait)  # first, so that the watch goes on whatever the list holds
-        self._list(event.server_list, False, self.now if event.wall_clock is None else event.wall_clock)
+        self._request_list(self.watch_wait)  # first, so that the watch goes on whatever the list holds
+        self._update_list(
+            event.server_list, False, self.now if event.wall_clock is None else event.wall_clock
+        )
 
-    def _list_failed(self, event: ListRequestFailed) -> None:
+    def _list_request_failed(self, event: ListRequestFailed) -> None:
         """Rule 3: asked again before what discovery has counts as told, apart from the others by chance."""
-        self.asking = False
+        self.list_requested = False
         if self.list_is_pushed:
-            self._ask(0.0, self.again_after)
+            self._request_list(0.0, self.pushed_retry_pause)
         elif event.silent:  # what it missed soon counts as told, so at once
-            self._ask(0.0)
+            self._request_list(0.0)
         else:
             self.balancer.list_request_failed(self.now)
-            began = self.now if self.waits else self.calls_at  # a watch had told all until it broke
+            began = (
+                self.now if self.request_is_watch else self.request_sent_at
+            )  # a watch had told all until it broke
             left = max(0.0, began + NEXT_REQUEST_SECONDS - self.now)
-            self._ask(0.0, min(self.retry_pause, left) * self.uniform(0.5, 1.0))
+            self._request_list(0.0, min(self.retry_pause, left) * self.uniform(0.5, 1.0))
             self.retry_pause = min(2 * self.retry_pause, NEXT_REQUEST_SECONDS)
 
-    def _reloaded(self, event: SettingsReloaded) -> None:
+    def _settings_reloaded(self, event: SettingsReloaded) -> None:
         """Another discovery may count its versions anew, so the whole list is asked for."""
         if event.discovery != self.discovery:
-            self.discovery, self.list_version, self.asking = event.discovery, None, False
+            self.discovery, self.list_version, self.list_requested = event.discovery, None, False
             self.retry_pause = (
                 FIRST_RETRY_PAUSE_SECONDS  # that the one before was out of reach says nothing of this one
             )
             self.effects.append(effects.SwitchDiscovery(event.discovery, event.names))
-            self._ask(0.0)
+            self._request_list(0.0)
 
-    def _list(self, listing: ServerList, cached: bool, wall: float) -> None:
+    def _update_list(self, listing: ServerList, cached: bool, wall: float) -> None:
         for name, host, port in listing.addresses:
             self.addresses[name] = (host, port)
         lines: Iterable[ServerEntry] = listing.servers
@@ -373,22 +393,26 @@
         before = self.balancer.active_servers
         lines = self.start_times.translate(lines, self.now, wall, not cached)
         lines = [line if line.server in self.addresses else line._replace(state="leaving") for line in lines]
-        self.guard.listed(lines, listing.is_full)
+        self.guard.update_servers(lines, listing.is_full)
         self.balancer.update_servers(lines, listing.is_full, cached, self.now)
         if before is not self.balancer.active_servers:
             self.effects.extend(effects.ForgetServer(server.name) for server in before if not server.active)
 
-    def _ask(self, hold: float, after: float = 0.0) -> None:
-        if not self.asking:
-            self.asking, self.waits, self.calls_at = True, hold > 0.0, self.now + after
+    def _request_list(self, hold: float, after: float = 0.0) -> None:
+        if not self.list_requested:
+            self.list_requested, self.request_is_watch, self.request_sent_at = (
+                True,
+                hold > 0.0,
+                self.now + after,
+            )
             self.effects.append(effects.RequestList(self.list_version, hold, after))
 
-    def _tick(self) -> None:
-        if self.now < self.wake_at:
-            if self.wake_at < inf:
-                self.effects.append(effects.SetTimer(self.wake_at - self.now))
+    def _timer_due(self) -> None:
+        if self.now < self.timer_due_at:
+            if self.timer_due_at < inf:
+                self.effects.append(effects.SetTimer(self.timer_due_at - self.now))
             return
-        self.wake_at = inf
+        self.timer_due_at = inf
         self.balancer.timer_due(self.now)
 
     def _stop_requested(self) -> None:
@@ -398,35 +422,36 @@
         tunnels: these moved in the first rounds. It hurts nobody but by an end that comes later."""
         self.stop_requested_at = min(self.stop_requested_at, self.now)
         left = self.stop_requested_at + self.stop_time_limit - self.now
-        rounds = max(1, int((left - STOP_SETTLE_SECONDS) / STEP))
+        rounds = max(1, int((left - STOP_SETTLE_SECONDS) / STOP_ROUND_SECONDS))
         if self.exiting:
             return
         if self.now < self.stop_requested_at + STOP_ACCEPT_SECONDS and rounds > 1:
-            self.effects.append(effects.ScheduleStop(STEP))
+            self.effects.append(effects.ScheduleStop(STOP_ROUND_SECONDS))
             return
         self.effects.append(effects.CloseIdleClients())
         standing = [c for c in self.clients.values() if c.tunnel.state is State.OPEN]
-        for client in standing[: self._by_chance(len(standing) / rounds)]:
+        for client in standing[: self._round_randomly(len(standing) / rounds)]:
             self.balancer.client_left(client.tunnel, self.now)
             self.migrate(client.tunnel)
-            self.moved_at = self.now
+            self.last_migration_at = self.now
         if rounds == 1:
             for client in [c for c in self.clients.values() if c.tunnel.state is not State.OPEN]:
-                self._turn_away(client)
+                self._answer_stopping(client)
         quiet = (
-            self.now >= max(self.stop_requested_at + STOP_ACCEPT_SECONDS, self.moved_at) + STOP_SETTLE_SECONDS
+            self.now
+            >= max(self.stop_requested_at + STOP_ACCEPT_SECONDS, self.last_migration_at) + STOP_SETTLE_SECONDS
         )
         if rounds == 1 or (quiet and all(c.tunnel.state is State.ENDED for c in self.clients.values())):
             self.exiting = True
             self.effects.append(effects.ExitProcess(max(left, 0.0)))
         else:
-            self.effects.append(effects.ScheduleStop(STEP))
+            self.effects.append(effects.ScheduleStop(STOP_ROUND_SECONDS))
 
-    def _by_chance(self, mean: float) -> int:
+    def _round_randomly(self, mean: float) -> int:
         """The whole number under `mean`, or the one over it, so that it is that on the mean."""
         return int(mean + self.uniform(0.0, 1.0))
 
-    def _turn_away(self, client: Client) -> None:
+    def _answer_stopping(self, client: Client) -> None:
         """The final answer of a tunnel that this balancer has no time left for."""
         harmless = self.balancer.may_decline(client.tunnel)
         if client.previous_server is not None:
@@ -448,7 +473,7 @@
 
     def cancel(self, tun: Tunnel, number: int) -> None:
         self.effects.append(effects.AbandonSetup(self.client_of[tun].number, number))
-        self.later.append((tun, number, "cancelled" if tun.setups[number].may_have_run else "moot"))
+        self.pending_endings.append((tun, number, "cancelled" if tun.setups[number].may_have_run else "moot"))
 
     def decline(self, tun: Tunnel, come_back: float) -> None:
         if self.on_declined is not None:
@@ -463,25 +488,25 @@
             client.answered = True
             if isinstance(answer, Decline) and not self.guard.may_refuse(client.number):
                 answer = Failure()
-            self.guard.answered(client.number)
+            self.guard.request_answered(client.number)
             self.effects.append(effects.Reply(client.number, answer, why))
-            self._forget_done(client)
+            self._forget_if_finished(client)
 
     def migrate(self, tun: Tunnel) -> None:
         number = len(tun.setups) - 1
         self.effects.append(effects.MigrateClient(self.client_of[tun].number, number))
-        self.later.append((tun, number, "cancelled"))
+        self.pending_endings.append((tun, number, "cancelled"))
 
     def probe(self, ep: Server) -> None:
         address = self.addresses[ep.name]
         self.effects.append(effects.Probe(ep.name, address, self.probe_timeout, self.connect_timeout))
 
     def watch_list(self) -> None:
-        self._ask(0.0)
+        self._request_list(0.0)
 
     def set_timer(self, delay: float) -> None:
-        if self.now + delay < self.wake_at:
-            self.wake_at = self.now + delay
+        if self.now + delay < self.timer_due_at:
+            self.timer_due_at = self.now + delay
             self.effects.append(effects.SetTimer(delay))
 
     # For the log.
--- a/pointgw/net/core/route.py
+++ b/pointgw/net/core/route.py
@@ -18,7 +18,7 @@
 )
 # The way there: this machine's to all, or the server's.
 ROUTE_ERRNOS = frozenset((errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM))
-REMEMBERED = 30.0  # seconds for which a failure counts as the one before
+FAILURE_MEMORY_SECONDS = 30.0  # seconds for which a failure counts as the one before
 
 
 class RouteEvidence:
@@ -26,12 +26,14 @@
 
     def __init__(self) -> None:
         self.failed_at: dict[Address, float] = {}  # by server: the last failure for want of a route
-        self.reached: list[tuple[Address, float]] = []  # the two servers reached last, the latest first
+        self.last_connected: list[
+            tuple[Address, float]
+        ] = []  # the two servers reached last, the latest first
 
     def record_connected(self, address: Address, now: float) -> None:
         """A connection came up."""
-        others = [(other, at) for other, at in self.reached if other != address]
-        self.reached = [(address, now), *others[:1]]
+        others = [(other, at) for other, at in self.last_connected if other != address]
+        self.last_connected = [(address, now), *others[:1]]
         self.failed_at.pop(address, None)
 
     def failure_ending(self, fault: OSError, address: Address, now: float) -> Ending:
@@ -42,7 +44,7 @@
             return "no-connection"
         before = self.failed_at.get(address)
         self.failed_at[address] = now
-        if before is None or now - before > REMEMBERED:
+        if before is None or now - before > FAILURE_MEMORY_SECONDS:
             return "moot"
-        reached_since = any(at > before for other, at in self.reached if other != address)
+        reached_since = any(at > before for other, at in self.last_connected if other != address)
         return "no-connection" if reached_since else "moot"
--- a/pointgw/net/wire/lines.py
+++ b/pointgw/net/wire/lines.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 
 from pointgw.interface import Ending, Report
-from pointgw.site import Malformed, report
+from pointgw.site import Malformed, parse_report
 
 LINE_END = b"\r\n"
 MAX_LINE_BYTES = 4096  # bytes of a line, its end included
 PING, PONG, STATS, MOVE, ERR = b"PING", b"PONG", b"STATS", b"MOVE", b"ERR"
-PATIENCE = re.compile(r"\d{1,9}(\.\d{1,6})?")  # milliseconds
+DEADLINE_PATTERN = re.compile(r"\d{1,9}(\.\d{1,6})?")  # milliseconds
 ENDINGS: dict[bytes, Ending] = {b"BYE": "ok", b"ERR": "error", b"BUSY": "full", b"MOVE": "cancelled"}
 
 
@@ -107,7 +107,7 @@
     patience: float | None = None
     before, after = line, b""
     if "d" in fields:
-        if not PATIENCE.fullmatch(fields["d"]) or not float(fields["d"]):
+        if not DEADLINE_PATTERN.fullmatch(fields["d"]) or not float(fields["d"]):
             raise Malformed(f"expected d as milliseconds, got {fields['d'][:80]!r}")
         patience = float(fields["d"]) / 1e3
         start = len(line) - len(pairs) + (0 if pairs.startswith("d=") else pairs.index(",d=") + 1) + 2
@@ -148,13 +148,13 @@
             return None
         return Load(load) if 0 <= load < math.inf else None
     ending = ENDINGS.get(word)
-    return None if ending is None else _closing(ending, rest)
+    return None if ending is None else _parse_end_line(ending, rest)
 
 
 def parse_probe_line(line: bytes) -> EndLine:
     """The answer to a probe."""
     word, _, rest = line.partition(b" ")
-    return _closing("ok" if word == PONG else "error", rest)
+    return _parse_end_line("ok" if word == PONG else "error", rest)
 
 
 def encode_answer(answer: Answer) -> bytes:
@@ -165,10 +165,10 @@
     )
 
 
-def _closing(ending: Ending, rest: bytes) -> EndLine:
+def _parse_end_line(ending: Ending, rest: bytes) -> EndLine:
     """A report that can't be read, or has a figure under nought, is none: its line still says how it went."""
     try:
-        told = report(rest.decode("ascii").strip(), "=")
+        told = parse_report(rest.decode("ascii").strip(), "=")
     except (Malformed, UnicodeDecodeError):
         return EndLine(ending, {}, True)
     sound = all(figure >= 0 for figure in told.values())
--- a/pointgw/net/wire/start_up.py
+++ b/pointgw/net/wire/start_up.py
@@ -8,7 +8,7 @@
 
 from pointgw.interface import Site
 from pointgw.net.wire.server_list import Names, ServerList, parse_server_list
-from pointgw.site import Fields, Malformed, seconds, site
+from pointgw.site import Fields, Malformed, parse_site, read_seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,17 +30,17 @@
     drain_grace: float = 0.1  # after a telling, how long a server may still be sent something
 
 
-def flat(value: Any, path: str = "") -> Fields:
+def flatten(value: Any, path: str = "") -> Fields:
     """Nested JSON as the fields that `site` reads: lists of plain values joined, objects counted."""
     if isinstance(value, dict):
         fields: Fields = {}
         for name, inner in value.items():
-            fields |= flat(inner, f"{path}.{name}" if path else name)
+            fields |= flatten(inner, f"{path}.{name}" if path else name)
         return fields
     if isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
         fields = {f"{path}.count": str(len(value))}
         for i, item in enumerate(value):
-            fields |= flat(item, f"{path}.{i}")
+            fields |= flatten(item, f"{path}.{i}")
         return fields
     if isinstance(value, list):
         return {path: ",".join(str(item) for item in value)}
@@ -54,23 +54,23 @@
         told = json.loads(data)
         settings = told["settings"]
         names = Names(_names(settings.get("zones")), _names(settings.get("kinds")))
-        fields = flat(settings)
+        fields = flatten(settings)
         return StartUpSettings(
             name=str(told["name"]),
             listen=_address(told["listen"]),
             discovery=_address(told["discovery"]),
             seed=int(str(told["seed"]), 16),
-            site=site(fields),
+            site=parse_site(fields),
             names=names,
             profiles=_names(settings.get("profiles")),
             tenants=_names(settings.get("tenants")),
-            connect_timeout=seconds(fields, "limits.connectTimeout", 0.25),
+            connect_timeout=read_seconds(fields, "limits.connectTimeout", 0.25),
             descriptors=max(0, int((told.get("limits") or {}).get("sockets") or 0)),
             known_list=parse_server_list(told["known"], names),
             balancer_index=int(settings.get("me", -1)),
             peers=tuple(_address(peer) for peer in told.get("peers") or ()),
             peer_listen=_address(told["peer_listen"]) if told.get("peer_listen") else None,
-            drain_grace=seconds(fields, "rules.stopSendingWithin", 0.1),
+            drain_grace=read_seconds(fields, "rules.stopSendingWithin", 0.1),
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError) as fault:
         raise Malformed(f"expected the start-up JSON: {type(fault).__name__} {fault}") from None
--- a/pointgw/simulator_adapter/codec.py
+++ b/pointgw/simulator_adapter/codec.py
@@ -5,18 +5,27 @@
 from typing import Any, cast
 
 from pointgw.interface import Ending, Report, ServerEntry
-from pointgw.site import Fields, Malformed, choice, number, seconds, text, wanted, whole
-from pointgw.site import report as report_of
+from pointgw.site import (
+    Fields,
+    Malformed,
+    malformed_field,
+    read_choice,
+    read_float,
+    read_int,
+    read_seconds,
+    read_text,
+)
+from pointgw.site import parse_report as parse_load_report
 
 ENDINGS: dict[str, Ending] = {
     "GOOD": "ok", "BAD": "error", "FULL": "full", "LATE": "timeout", "NOCONN": "no-connection",
     "RST": "reset", "CXL": "cancelled", "NOP": "moot",
 }  # fmt: skip
 STATES = {"active": "active", "leaving": "leaving", "left": "left"}
-FORMS = {"delta": "delta", "full": "full", "cached": "cached", "failed": "failed"}
+LIST_FORMS = {"delta": "delta", "full": "full", "cached": "cached", "failed": "failed"}
 
 
-def split(line: str) -> tuple[str, Fields]:
+def parse_line(line: str) -> tuple[str, Fields]:
     """A line's word and its fields. A pair without '=' is refused."""
     word, *parts = line.split("\t")
     fields: Fields = {}
@@ -28,25 +37,25 @@
     return word, fields
 
 
-def report(fields: Fields) -> Report:
-    return report_of(fields.get("telemetry", ""), ":")
+def read_report(fields: Fields) -> Report:
+    return parse_load_report(fields.get("telemetry", ""), ":")
 
 
-def entry(fields: Fields) -> ServerEntry:
+def read_entry(fields: Fields) -> ServerEntry:
     return ServerEntry(
-        server=text(fields, "server"),
-        state=cast(Any, choice(fields, "availability", STATES)),
-        kind=whole(fields, "kind", 0),
-        cell=whole(fields, "stripe", 0),
-        zone=whole(fields, "locality", 0),
-        started_at=seconds(fields, "startTime", 0.0),
-        weight=number(fields, "nominal", 1.0),
+        server=read_text(fields, "server"),
+        state=cast(Any, read_choice(fields, "availability", STATES)),
+        kind=read_int(fields, "kind", 0),
+        cell=read_int(fields, "stripe", 0),
+        zone=read_int(fields, "locality", 0),
+        started_at=read_seconds(fields, "startTime", 0.0),
+        weight=read_float(fields, "nominal", 1.0),
     )
 
 
-def payload(fields: Fields, name: str) -> bytes:
-    value = text(fields, name)
+def read_payload(fields: Fields, name: str) -> bytes:
+    value = read_text(fields, name)
     try:
         return b"" if value == "-" else bytes.fromhex(value)
     except ValueError:
-        raise wanted(name, value, "hex digits") from None
+        raise malformed_field(name, value, "hex digits") from None
--- a/pointgw/site.py
+++ b/pointgw/site.py
@@ -11,48 +11,51 @@
 Fields = dict[str, str]
 T = TypeVar("T")
 
-REPORT_WORDS = {
+REPORT_FIELDS = {
     "rif": "connections", "x0": "load", "x1": "backlog", "q": "waiting", "busy": "util", "rate": "rate",
     "lat_ms": "delay", "fail_rate": "errors", "inflight": "connections", "queue": "waiting", "util": "util",
     "qps": "rate", "latency_ms": "delay", "eps": "errors",
 }  # fmt: skip
-IN_MS = ("lat_ms", "latency_ms")
+MILLISECOND_FIELDS = ("lat_ms", "latency_ms")
 SEMANTICS: dict[str, Semantics] = {
     "pure": "repeatable", "token": "referenced", "side_effect": "once-only",
     "safe": "repeatable", "keyed": "referenced", "unsafe": "once-only",
 }  # fmt: skip
-GROUPS: dict[str, DedupScope] = {"all": "all", "zone": "zone", "cell": "cell"}
-MODES = {"subscribe": True, "automatic": False, "ask": True, "push": False}
-SIZES = ("nominal", "rough")  # words for the list's weights that tell a size; others change with the load
-FLAGS = {"true": True, "false": False, "1": True, "0": False}
+DEDUP_SCOPES: dict[str, DedupScope] = {"all": "all", "zone": "zone", "cell": "cell"}
+MEMBERSHIP_MODES = {"subscribe": True, "automatic": False, "ask": True, "push": False}
+SIZE_WEIGHTS = (
+    "nominal",
+    "rough",
+)  # words for the list's weights that tell a size; others change with the load
+BOOLEANS = {"true": True, "false": False, "1": True, "0": False}
 
 
 class Malformed(Exception):
     """Something said to us that its protocol does not allow; its text says what was expected."""
 
 
-def wanted(name: str, value: object, what: str) -> Malformed:
+def malformed_field(name: str, value: object, what: str) -> Malformed:
     return Malformed(f"expected {name} as {what}, got {'nothing' if value is None else repr(value)}")
 
 
-def text(fields: Fields, name: str) -> str:
+def read_text(fields: Fields, name: str) -> str:
     value = fields.get(name)
     if not value:
-        raise wanted(name, value, "a word")
+        raise malformed_field(name, value, "a word")
     return value
 
 
-def whole(fields: Fields, name: str, default: int | None = None) -> int:
+def read_int(fields: Fields, name: str, default: int | None = None) -> int:
     value = fields.get(name)
     if value is None and default is not None:
         return default
     try:
         return int(cast(str, value))
     except (TypeError, ValueError):
-        raise wanted(name, value, "a whole number") from None
+        raise malformed_field(name, value, "a whole number") from None
 
 
-def number(fields: Fields, name: str, default: float | None = None) -> float:
+def read_float(fields: Fields, name: str, default: float | None = None) -> float:
     value = fields.get(name)
     if value is None and default is not None:
         return default
@@ -61,45 +64,45 @@
     except (TypeError, ValueError):
         figure = math.nan
     if not math.isfinite(figure):
-        raise wanted(name, value, "a number")
+        raise malformed_field(name, value, "a number")
     return figure
 
 
-def share(fields: Fields, name: str) -> float:
+def read_non_negative(fields: Fields, name: str) -> float:
     """A weight of nought or more; absent: nought."""
-    figure = number(fields, name, 0.0)
+    figure = read_float(fields, name, 0.0)
     if figure < 0:
-        raise wanted(name, fields[name], "nought or more")
+        raise malformed_field(name, fields[name], "nought or more")
     return figure
 
 
-def over_nought(fields: Fields, name: str) -> float:
+def read_positive(fields: Fields, name: str) -> float:
     """A figure that has to be over nought where it is told; absent: nought."""
-    figure = number(fields, name, 0.0)
+    figure = read_float(fields, name, 0.0)
     if figure <= 0 and name in fields:
-        raise wanted(name, fields[name], "a number over nought")
+        raise malformed_field(name, fields[name], "a number over nought")
     return figure
 
 
-def seconds(fields: Fields, name: str, default: float | None = None) -> float:
+def read_seconds(fields: Fields, name: str, default: float | None = None) -> float:
     """A time in milliseconds on the wire, in seconds here."""
-    return number(fields, name, None if default is None else default * 1e3) / 1e3
+    return read_float(fields, name, None if default is None else default * 1e3) / 1e3
 
 
-def choice(fields: Fields, name: str, words: dict[str, T], default: T | None = None) -> T:
+def read_choice(fields: Fields, name: str, words: dict[str, T], default: T | None = None) -> T:
     value = fields.get(name)
     if value is None and default is not None:
         return default
     if value not in words:
-        raise wanted(name, value, "one of " + ", ".join(words))
+        raise malformed_field(name, value, "one of " + ", ".join(words))
     return words[value]
 
 
-def flag(fields: Fields, name: str, default: bool | None = False) -> bool:
-    return choice(fields, name, FLAGS, default)
+def read_flag(fields: Fields, name: str, default: bool | None = False) -> bool:
+    return read_choice(fields, name, BOOLEANS, default)
 
 
-def report(pairs: str, sign: str) -> Report:
+def parse_report(pairs: str, sign: str) -> Report:
     """A load report in our words; values that are not known here are skipped."""
     figures: Report = {}
     for pair in pairs.split(",") if pairs and pairs != "-" else ():
@@ -109,21 +112,21 @@
         except ValueError:
             found = ""
         if not found or not math.isfinite(figure):
-            raise wanted("a load report", pair, f"name{sign}number pairs")
-        if name in REPORT_WORDS:
-            figures[REPORT_WORDS[name]] = figure / 1e3 if name in IN_MS else figure
+            raise malformed_field("a load report", pair, f"name{sign}number pairs")
+        if name in REPORT_FIELDS:
+            figures[REPORT_FIELDS[name]] = figure / 1e3 if name in MILLISECOND_FIELDS else figure
     return figures
 
 
-def _list(conf: Fields, name: str, convert: Callable[[str], T]) -> tuple[T, ...]:
+def _read_list(conf: Fields, name: str, convert: Callable[[str], T]) -> tuple[T, ...]:
     value = conf.get(name, "")
     try:
         return tuple(convert(item) for item in value.split(",") if item)
     except ValueError:
-        raise wanted(name, value, "a list") from None
+        raise malformed_field(name, value, "a list") from None
 
 
-def site(settings: Fields) -> Site:
+def parse_site(settings: Fields) -> Site:
     """The settings of one balancer. Keys not known here are skipped; null is an absent value.
 
     What is absent is taken as what binds most: once-only tunnels, a list that must be asked, slow starts.
@@ -131,37 +134,37 @@
     conf = {name: value for name, value in settings.items() if value != "null"}
     profiles = tuple(
         Profile(
-            semantics=choice(conf, f"profiles.{i}.semantics", SEMANTICS, SEMANTICS["side_effect"]),
-            dedup_scope=choice(conf, f"profiles.{i}.group", GROUPS, GROUPS["cell"]),
-            dedup_window=seconds(conf, f"profiles.{i}.dedupWindow", 0.0),
-            attempt_timeout=seconds(conf, f"profiles.{i}.setupGoal", 0.5),
-            client_timeout=seconds(conf, f"profiles.{i}.clientTimeout", 3.0),
-            credit=number(conf, f"profiles.{i}.credit", 1.0),
+            semantics=read_choice(conf, f"profiles.{i}.semantics", SEMANTICS, SEMANTICS["side_effect"]),
+            dedup_scope=read_choice(conf, f"profiles.{i}.group", DEDUP_SCOPES, DEDUP_SCOPES["cell"]),
+            dedup_window=read_seconds(conf, f"profiles.{i}.dedupWindow", 0.0),
+            attempt_timeout=read_seconds(conf, f"profiles.{i}.setupGoal", 0.5),
+            client_timeout=read_seconds(conf, f"profiles.{i}.clientTimeout", 3.0),
+            credit=read_float(conf, f"profiles.{i}.credit", 1.0),
         )
-        for i in range(max(1, whole(conf, "profiles.count", 1)))
+        for i in range(max(1, read_int(conf, "profiles.count", 1)))
     )
-    advice = flag(conf, "limits.retryAfter", False)
+    advice = read_flag(conf, "limits.retryAfter", False)
     return Site(
-        balancer_count=max(1, whole(conf, "instances", 1)),
-        zone=whole(conf, "zone", 0),
+        balancer_count=max(1, read_int(conf, "instances", 1)),
+        zone=read_int(conf, "zone", 0),
         profiles=profiles,
-        list_is_polled=choice(conf, "membershipMode", MODES, MODES["subscribe"]),
-        list_poll_interval=seconds(conf, "rules.askEvery", 10.0),
-        report_fields=tuple(REPORT_WORDS.get(name, name) for name in _list(conf, "report.fields", str)),
-        max_setups=whole(conf, "limits.maxSetups", 1),
-        may_probe=flag(conf, "limits.probes", False),
-        may_cancel=flag(conf, "limits.mayCancel", False),
-        max_retry_after=seconds(conf, "limits.maxRetryAfter", 0.0) if advice else 0.0,
-        timer_resolution=seconds(conf, "quantum", 0.0),
-        slow_start_share=number(conf, "rules.coldFrom", 0.1),
-        warm_up_window=seconds(conf, "rules.cold", 30.0),
-        overload_factor=number(conf, "rules.tipMultiple", 1.0),
-        overload_window=seconds(conf, "rules.fall", 1.0),
-        probe_price=number(conf, "prices.probe", 0.0),
-        sizes_listed=conf.get("weights") in SIZES,
-        tunnel_quota=sum(_list(conf, "domain.tenantQuotaConnections", float)),
-        balancer_index=whole(conf, "me", -1),
-        only_draining_excludes=flag(conf, "rules.drainBindsAlone", False),
-        nines_weight=share(conf, "scoreParts.nines"),
-        max_nines=over_nought(conf, "scoreParts.topNines"),
+        list_is_polled=read_choice(conf, "membershipMode", MEMBERSHIP_MODES, MEMBERSHIP_MODES["subscribe"]),
+        list_poll_interval=read_seconds(conf, "rules.askEvery", 10.0),
+        report_fields=tuple(REPORT_FIELDS.get(name, name) for name in _read_list(conf, "report.fields", str)),
+        max_setups=read_int(conf, "limits.maxSetups", 1),
+        may_probe=read_flag(conf, "limits.probes", False),
+        may_cancel=read_flag(conf, "limits.mayCancel", False),
+        max_retry_after=read_seconds(conf, "limits.maxRetryAfter", 0.0) if advice else 0.0,
+        timer_resolution=read_seconds(conf, "quantum", 0.0),
+        slow_start_share=read_float(conf, "rules.coldFrom", 0.1),
+        warm_up_window=read_seconds(conf, "rules.cold", 30.0),
+        overload_factor=read_float(conf, "rules.tipMultiple", 1.0),
+        overload_window=read_seconds(conf, "rules.fall", 1.0),
+        probe_price=read_float(conf, "prices.probe", 0.0),
+        sizes_listed=conf.get("weights") in SIZE_WEIGHTS,
+        tunnel_quota=sum(_read_list(conf, "domain.tenantQuotaConnections", float)),
+        balancer_index=read_int(conf, "me", -1),
+        only_draining_excludes=read_flag(conf, "rules.drainBindsAlone", False),
+        nines_weight=read_non_negative(conf, "scoreParts.nines"),
+        max_nines=read_positive(conf, "scoreParts.topNines"),
     )
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -232,11 +232,11 @@
 def test_a_timer_that_comes_early_is_set_again() -> None:
     # Guards against a loop whose clock is coarser than ours: a lost tick would stop all that is timed.
     red = reducer()
-    due = red.wake_at
+    due = red.timer_due_at
     (wake,) = red.dispatch(ev.TimerDue(), due - 0.001)
     assert isinstance(wake, effects.SetTimer) and wake.delay == pytest.approx(0.001)
     red.dispatch(ev.TimerDue(), due)
-    assert red.wake_at > due
+    assert red.timer_due_at > due
 
 
 def test_loads_and_probes_reach_the_module() -> None:
@@ -334,7 +334,7 @@
     red = reducer()
     for now in (100.1, 101.0, 103.0, 107.0, 113.0):
         red.dispatch(ev.ListRequestFailed(), now)
-        red.asking = False
+        red.list_requested = False
     red.dispatch(ev.SettingsReloaded(("127.0.0.1", 3), Names(("a",), ("k",))), 120.0)
     now, calls = 120.0, 0
     while now < 124.0:
--- a/tests/test_route.py
+++ b/tests/test_route.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pointgw.net.core.route import LOCAL_FAULT_ERRNOS, REMEMBERED, ROUTE_ERRNOS, RouteEvidence
+from pointgw.net.core.route import FAILURE_MEMORY_SECONDS, LOCAL_FAULT_ERRNOS, ROUTE_ERRNOS, RouteEvidence
 
 A, B, C = ("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)
 
@@ -49,4 +49,4 @@
     route.record_connected(A, 1.6)
     assert fails(route, A, 1.7) == "moot"
     route.record_connected(B, 1.8)
-    assert fails(route, A, 1.7 + REMEMBERED + 0.2) == "moot"
+    assert fails(route, A, 1.7 + FAILURE_MEMORY_SECONDS + 0.2) == "moot"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -15,7 +15,7 @@
     encode_list_request,
     parse_server_list_body,
 )
-from pointgw.net.wire.start_up import flat, parse_start_up_file
+from pointgw.net.wire.start_up import flatten, parse_start_up_file
 from pointgw.site import Malformed
 
 OPEN = b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,again=1"
@@ -209,7 +209,7 @@
 def test_nested_settings_become_fields() -> None:
     value = {"a": {"b": [1, 2.5], "c": None, "d": True}, "e": [{"f": "x"}, {"f": "y"}], "g": []}
     fields = {"a.b": "1,2.5", "a.c": "null", "a.d": "true", "e.count": "2", "e.0.f": "x", "e.1.f": "y"}
-    assert flat(value) == fields | {"g": ""}
+    assert flatten(value) == fields | {"g": ""}
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b'{"settings":{}}'])
