--- a/pointgw/net/core/reducer.py
+++ b/pointgw/net/core/reducer.py
@@ -41,36 +41,35 @@
 if TYPE_CHECKING:
     from pointgw.state.restore import MembershipView, RestoredState
 
-PUSHED_RETRY_SHARE = (
-    0.25  # of the grace after a telling: the pause after a failed call, where lists are pushed
-)
-# Seconds after which what a discovery in reach has counts as told, whatever failed before; and after the wait
-# of a call that may wait. In half of the latter a call in reach is answered.
-LIST_DEADLINE_SECONDS, WATCH_DEADLINE_SECONDS = 6.0, 2.0
-WATCH_RESPONSE_SECONDS = WATCH_DEADLINE_SECONDS / 2
-# Discovery works through calls in turn and says so itself where one waited too long: given up before that,
-# each call only joins the end of the queue.
-LIST_RESPONSE_SECONDS = LIST_DEADLINE_SECONDS - WATCH_DEADLINE_SECONDS  # for a call that does not wait
-# From when a call goes out which fails: discovery may be in reach right after it, and the next call's answer
-# has to come in time. Where calls fail at once that leaves long pauses, as discovery may be overbooked.
+# Where the list is pushed, the pause after a failed request, as a share of the drain grace.
+PUSHED_RETRY_SHARE = 0.25
+# Rule 3: the list of a reachable discovery counts as known after this time, whatever failed before.
+LIST_DEADLINE_SECONDS = 6.0
+# The same, in seconds after the wait of a watch (a request that discovery holds until the list changes).
+WATCH_DEADLINE_SECONDS = 2.0
+WATCH_RESPONSE_SECONDS = WATCH_DEADLINE_SECONDS / 2  # a reachable discovery answers within this
+# Timeout of a request that does not wait. Discovery serves requests in turn and reports by itself one that
+# waited too long: giving up earlier would only put each request at the end of the queue.
+LIST_RESPONSE_SECONDS = LIST_DEADLINE_SECONDS - WATCH_DEADLINE_SECONDS
+# Longest time from sending a request that fails to sending the next: discovery may become reachable right
+# after the first, and the answer to the next has to come before the deadline. Requests that fail at once
+# thus leave long pauses, which spare an overloaded discovery.
 NEXT_REQUEST_SECONDS = LIST_DEADLINE_SECONDS - WATCH_RESPONSE_SECONDS
-FIRST_RETRY_PAUSE_SECONDS = (
-    NEXT_REQUEST_SECONDS / 8
-)  # after the first that fails; then doubled each time, by chance cut by up to half
-WATCH_WAIT_SHARE = (
-    0.5  # of the time after which a balancer that does not ask counts as told: how long a watch waits
-)
-INHERITED_RETRY_SECONDS = 0.25  # seconds until a tunnel that stood before the run is asked for again
-MIN_PUSHED_RETRY_SECONDS = 0.01  # seconds: the shortest such pause
-INHERITED_TIMEOUT_SECONDS = 40.0  # seconds in which such a tunnel must be up
-STOP_ACCEPT_SECONDS = 0.5  # seconds after the signal to stop in which new connections still come
-STOP_ROUND_SECONDS = 0.1  # seconds between two rounds of moves while stopping
-STOP_SETTLE_SECONDS = 0.3  # seconds that the last moves have to arrive
-EXIT_MARGIN_SECONDS = 0.1  # seconds that are left for the end of the process
-KILL_DELAY_SECONDS, MAX_STOP_SECONDS = (
-    0.7,
-    3.0,
-)  # it is killed that long after the longest client timeout, at most this
+# Pause after the first failure; doubled after each further one, and randomly cut by up to half.
+FIRST_RETRY_PAUSE_SECONDS = NEXT_REQUEST_SECONDS / 8
+# Wait of a watch, as a share of the list poll interval (after which a balancer that does not ask counts as
+# informed).
+WATCH_WAIT_SHARE = 0.5
+INHERITED_RETRY_SECONDS = 0.25  # until the next try for a tunnel that was open before this process started
+MIN_PUSHED_RETRY_SECONDS = 0.01  # shortest pause after a failed request, where the list is pushed
+INHERITED_TIMEOUT_SECONDS = 40.0  # limit for setting up a tunnel that was open before this process started
+STOP_ACCEPT_SECONDS = 0.5  # new connections still arrive for this long after the stop signal
+STOP_ROUND_SECONDS = 0.1  # between two rounds of migrations while stopping
+STOP_SETTLE_SECONDS = 0.3  # for the last migrations to reach their clients
+EXIT_MARGIN_SECONDS = 0.1  # left for the end of the process
+# The process is killed this long after the longest client timeout, of which at most the cap counts.
+KILL_DELAY_SECONDS = 0.7
+CLIENT_TIMEOUT_CAP_SECONDS = 3.0
 
 
 @dataclass(slots=True, eq=False)
@@ -130,7 +129,9 @@
         )
         self.max_client_timeout = max(p.client_timeout for p in start.site.profiles)
         self.stop_time_limit = (
-            min(self.max_client_timeout, MAX_STOP_SECONDS) + KILL_DELAY_SECONDS - EXIT_MARGIN_SECONDS
+            min(self.max_client_timeout, CLIENT_TIMEOUT_CAP_SECONDS)
+            + KILL_DELAY_SECONDS
+            - EXIT_MARGIN_SECONDS
         )
         rng = Random(start.seed)
         self.uniform = rng.uniform
