--- a/pointgw/net/core/reducer.py
+++ b/pointgw/net/core/reducer.py
@@ -1,7 +1,7 @@
-"""The one place where state changes: an event at a time goes in, the effects it asks for come out.
+"""The state of one balancer process: `Reducer.dispatch` applies an event and returns the effects it causes.
 
-The decisions are the module's (`pointgw.policy`). This file keeps who is connected, turns events into
-calls of the module, and what the module asks of its `Host` into effects.
+The decisions are made in `pointgw.policy`. This module tracks the connected clients, turns events into calls
+of the policy and the policy's calls of its `Host` into effects. It does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -74,18 +74,21 @@
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """One client connection that has asked for a tunnel."""
+    """A client connection that has requested a tunnel."""
 
     number: int
     request: OpenRequest
     tunnel: Tunnel
     arrived_at: float
-    previous_server: Server | None = None  # where its tunnel stood before the run, until it is up
-    answered: bool = False  # it got its final answer, or is gone
+    previous_server: Server | None = None  # had its tunnel before this process started; until it is open
+    answered: bool = False  # it has its final answer, or has left
 
 
 class Reducer:
-    """All that this balancer keeps."""
+    """State of one balancer, changed by events.
+
+    `membership` records the list for snapshots (None: no snapshots); `restored` is the state read from one.
+    """
 
     def __init__(
         self,
@@ -93,36 +96,32 @@
         now: float,
         policy: type[Balancer] = Balancer,
         membership: MembershipView | None = None,
-        recalled: RestoredState | None = None,
+        restored: RestoredState | None = None,
     ) -> None:
-        self.membership = membership  # what a memory keeps; None: nothing is kept
-        self.on_declined: Callable[[Tunnel], None] | None = None  # the tier counts them
+        self.membership = membership  # what snapshots hold of the list; None: no snapshots
+        self.on_declined: Callable[[Tunnel], None] | None = None  # set by the cluster runner
         self.effects: list[effects.Effect] = []
-        self.pending_endings: list[
-            tuple[Tunnel, int, Ending]
-        ] = []  # ends that follow from what was asked for
+        # Setups ended by the effects of the current event: tunnel, setup number, ending.
+        self.pending_endings: list[tuple[Tunnel, int, Ending]] = []
         self.clients: dict[int, Client] = {}
         self.client_of: dict[Tunnel, Client] = {}
         self.addresses: dict[str, effects.Address] = {}
         self.list_version: int | None = start.known_list.version
         self.discovery = start.discovery
-        self.tunnel_names: set[str] = set()  # the names of those in `clients`
+        self.tunnel_names: set[str] = set()  # of the tunnels in `clients`
         self.list_requested = False
         self.timer_due_at = inf
         self.now = now
-        self.stop_requested_at = inf  # when the signal to stop came
-        self.last_migration_at = -inf  # when tunnels were last moved off since
-        self.exiting = False  # the last of it was asked for
+        self.stop_requested_at = inf  # time of the stop signal
+        self.last_migration_at = -inf  # time of the last migration since then
+        self.exiting = False  # `ExitProcess` has been issued
         self.profiles = {name: i for i, name in enumerate(start.profiles)}
         self.tenants = {name: i for i, name in enumerate(start.tenants)}
         self.connect_timeout = start.connect_timeout
         self.watch_wait = WATCH_WAIT_SHARE * start.site.list_poll_interval
-        self.retry_pause = FIRST_RETRY_PAUSE_SECONDS  # after the next call that fails
-        self.request_is_watch, self.request_sent_at = (
-            False,
-            now,
-        )  # whether the last call may wait; when it went out
-        # Rule 3: what a list that is pushed has to tell counts at once, so it is asked for without a pause.
+        self.retry_pause = FIRST_RETRY_PAUSE_SECONDS  # after the next request that fails
+        self.request_is_watch, self.request_sent_at = False, now  # of the last list request
+        # Rule 3: a pushed list counts as known at once, so it is requested without a pause.
         self.list_is_pushed = not start.site.list_is_polled
         self.pushed_retry_pause = max(
             PUSHED_RETRY_SHARE * start.drain_grace, start.site.timer_resolution, MIN_PUSHED_RETRY_SECONDS
@@ -139,14 +138,15 @@
         self.probe_timeout = self.balancer.attempt_timeout / 2
         self.start_times = StartTimes(start.site.warm_up_window)
         self.guard = DeliveryGuard(start.site.only_draining_excludes)
-        if recalled is None:
+        if restored is None:
             self._update_list(start.known_list, True, now)
         else:
-            self.list_version = None  # the whole list is asked for: who else counts its versions is not known
-            self._update_list(ServerList(0, True, recalled.entries, recalled.addresses), True, now)
+            # Requests the full list: the snapshot's discovery may have numbered its versions differently.
+            self.list_version = None
+            self._update_list(ServerList(0, True, restored.entries, restored.addresses), True, now)
 
     def dispatch(self, event: Event, now: float) -> list[effects.Effect]:
-        """The one entry: changes the state and gives the effects, in order."""
+        """Applies an event and returns the effects to carry out, in order."""
         self.now = now
         match event:
             case ClientArrived():
@@ -181,53 +181,54 @@
             case StopRequested():
                 self._stop_requested()
         while self.pending_endings:
-            tun, number, ending = self.pending_endings.pop(0)
-            self._end_setup(tun, number, ending, True, {})
+            tunnel, number, ending = self.pending_endings.pop(0)
+            self._end_setup(tunnel, number, ending, True, {})
         return self.pop_effects()
 
     def pop_effects(self) -> list[effects.Effect]:
+        """Returns the effects issued since the last call, and clears them."""
         requested, self.effects = self.effects, []
         return requested
 
     # Clients.
 
     def _client_arrived(self, event: ClientArrived) -> None:
-        opening, now = event.request, self.now
-        profile = self.profiles.get(opening.profile)
+        request, now = event.request, self.now
+        profile = self.profiles.get(request.profile)
         if not check_invariant(event.client not in self.clients, "a client arrives once"):
             return
         # Guards against the name of another client's tunnel: servers fail it, and would seem to be at fault.
-        taken = opening.name in self.tunnel_names
+        name_in_use = request.name in self.tunnel_names
         if (
             profile is None
-            or taken
-            or (opening.current_server and opening.current_server not in self.balancer.servers)
+            or name_in_use
+            or (request.current_server and request.current_server not in self.balancer.servers)
         ):
-            why = "unknown_class" if profile is None else "id_in_use" if taken else "unknown_server"
-            self.effects.append(effects.Reply(event.client, Failure(), why))
+            reason = "unknown_class" if profile is None else "id_in_use" if name_in_use else "unknown_server"
+            self.effects.append(effects.Reply(event.client, Failure(), reason))
             return
         if now >= self.stop_requested_at + STOP_ACCEPT_SECONDS or self.exiting:
             self.effects.append(effects.Reply(event.client, Decline(0.0), "stopping"))
             return
-        patience = opening.remaining_time
+        remaining_time = request.remaining_time
         timeout = self.balancer.profiles[profile].client_timeout
-        patience = timeout if patience is None else min(patience, timeout)
-        tun = self.balancer.new_tunnel(
-            opening.name, profile, self.tenants.get(opening.tenant, 0), opening.key, opening.group,
-            now + patience, opening.is_returning,
+        remaining_time = timeout if remaining_time is None else min(remaining_time, timeout)
+        tunnel = self.balancer.new_tunnel(
+            request.name, profile, self.tenants.get(request.tenant, 0), request.key, request.group,
+            now + remaining_time, request.is_returning,
         )  # fmt: skip
-        client = Client(event.client, opening, tun, now)
-        self.clients[event.client] = self.client_of[tun] = client
-        self.tunnel_names.add(opening.name)
-        if opening.current_server:
-            client.previous_server = self.balancer.servers[opening.current_server]
+        client = Client(event.client, request, tunnel, now)
+        self.clients[event.client] = self.client_of[tunnel] = client
+        self.tunnel_names.add(request.name)
+        if request.current_server:
+            client.previous_server = self.balancer.servers[request.current_server]
             self._connect_to_previous(client, 0.0)
         else:
-            self.guard.request_arrived(event.client, tun.profile, now + patience)
-            self.balancer.tunnel_arrived(tun, False, now)
+            self.guard.request_arrived(event.client, tunnel.profile, now + remaining_time)
+            self.balancer.tunnel_arrived(tunnel, False, now)
 
-    def _connect_to_previous(self, client: Client, after: float) -> None:
-        """A tunnel that stood before the run goes to its server, whatever the module would choose."""
+    def _connect_to_previous(self, client: Client, delay: float) -> None:
+        """Connects a tunnel from before this process started to its server, bypassing the policy."""
         assert client.previous_server is not None
         address = self.addresses[client.previous_server.name]
         self.effects.append(
@@ -239,7 +240,7 @@
                 None,
                 INHERITED_TIMEOUT_SECONDS,
                 INHERITED_TIMEOUT_SECONDS,
-                after,
+                delay,
             )
         )
 
@@ -249,16 +250,16 @@
             return
         client.answered = True
         self.guard.client_left(event.client)
-        tun = client.tunnel
-        was_open = tun.state is State.OPEN
-        self.balancer.client_left(tun, self.now)
+        tunnel = client.tunnel
+        was_open = tunnel.state is State.OPEN
+        self.balancer.client_left(tunnel, self.now)
         if client.previous_server is not None:
             self.effects.append(effects.AbandonSetup(client.number, 0, event.reset))
             client.previous_server = None
         elif was_open:
-            number = len(tun.setups) - 1
+            number = len(tunnel.setups) - 1
             self.effects.append(effects.AbandonSetup(client.number, number, event.reset))
-            self.pending_endings.append((tun, number, "cancelled"))
+            self.pending_endings.append((tunnel, number, "cancelled"))
         self._forget_if_finished(client)
 
     def _forget_if_finished(self, client: Client) -> None:
@@ -272,16 +273,16 @@
     # Setups.
 
     def _setup_connected(self, event: SetupConnected) -> None:
-        """What was decided before the dial is looked at again: the client, the list and the clock went on."""
+        """Checks again whether the request may be sent: client, list and time have changed meanwhile."""
         client = self.clients.get(event.client)
         if client is not None and client.previous_server is None:
-            tun, number = client.tunnel, event.setup
-            server = tun.setups[number].server.name
-            may_write = self.balancer.may_write_request(tun, number, self.now)
+            tunnel, number = client.tunnel, event.setup
+            server = tunnel.setups[number].server.name
+            may_write = self.balancer.may_write_request(tunnel, number, self.now)
             if not may_write or not self.guard.may_send(event.client, number, server, self.now):
                 self.effects.append(effects.AbandonSetup(event.client, number))
-                if tun.setups[number].in_progress:
-                    self._end_setup(tun, number, "moot", False, {})
+                if tunnel.setups[number].in_progress:
+                    self._end_setup(tunnel, number, "moot", False, {})
                 return
         elif client is None:
             self.effects.append(effects.AbandonSetup(event.client, event.setup))
@@ -293,48 +294,48 @@
         if client is None:
             self.effects.append(effects.AbandonSetup(event.client, event.setup))
             return
-        tun = client.tunnel
+        tunnel = client.tunnel
         if client.previous_server is not None:
-            ep, client.previous_server = client.previous_server, None
-            self.balancer.tunnel_inherited(tun, ep, self.now)
+            server, client.previous_server = client.previous_server, None
+            self.balancer.tunnel_inherited(tunnel, server, self.now)
         else:
-            self.balancer.setup_opened(tun, event.setup, self.now)
-        if tun.state is State.OPEN and event.setup == len(tun.setups) - 1:
+            self.balancer.setup_opened(tunnel, event.setup, self.now)
+        if tunnel.state is State.OPEN and event.setup == len(tunnel.setups) - 1:
             client.answered = True
             self.guard.request_answered(client.number)
             self.effects.append(effects.RelayTunnel(client.number, event.setup))
-        else:  # given up meanwhile
+        else:  # abandoned in the meantime
             self.effects.append(effects.AbandonSetup(client.number, event.setup))
-            self.pending_endings.append((tun, event.setup, "cancelled"))
+            self.pending_endings.append((tunnel, event.setup, "cancelled"))
 
     def _setup_ended(self, event: SetupEnded) -> None:
         client = self.clients.get(event.client)
         if client is None:
             return
-        tun, ending = client.tunnel, event.end_line.ending
+        tunnel, ending = client.tunnel, event.end_line.ending
         if client.previous_server is not None:
             if self.now - client.arrived_at < INHERITED_TIMEOUT_SECONDS:
                 self._connect_to_previous(client, INHERITED_RETRY_SECONDS)
             else:
                 client.previous_server = None
-                self.balancer.client_left(tun, self.now)
+                self.balancer.client_left(tunnel, self.now)
                 self._answer(client, Failure(), "standing_lost")
             return
-        was_open = tun.state is State.OPEN
+        was_open = tunnel.state is State.OPEN
         if was_open:
             self.effects.append(effects.CloseClient(client.number, event.reset))
-        self._end_setup(tun, event.setup, ending, was_open, event.end_line.report)
+        self._end_setup(tunnel, event.setup, ending, was_open, event.end_line.report)
 
-    def _end_setup(self, tun: Tunnel, number: int, ending: Ending, closed: bool, report: Report) -> None:
-        client = self.client_of.get(tun)
+    def _end_setup(self, tunnel: Tunnel, number: int, ending: Ending, closed: bool, report: Report) -> None:
+        client = self.client_of.get(tunnel)
         if client is None:
             return
         if not check_invariant(
-            number < len(tun.setups) and tun.setups[number].in_progress, "a setup ends once"
+            number < len(tunnel.setups) and tunnel.setups[number].in_progress, "a setup ends once"
         ):
             return
         self.guard.attempt_ended(client.number, number, ending)
-        self.balancer.setup_ended(tun, number, ending, closed, report, self.now)
+        self.balancer.setup_ended(tunnel, number, ending, closed, report, self.now)
         self._forget_if_finished(client)
 
     def _server_slow(self, event: ServerSlow) -> None:
@@ -346,7 +347,7 @@
         else:
             self.balancer.record_delay(client.tunnel, event.duration, self.now)
 
-    # The list and the clock.
+    # The server list, settings and timers.
 
     def _list_received(self, event: ListReceived) -> None:
         self.list_requested, self.list_version, self.retry_pause = (
@@ -354,59 +355,59 @@
             event.server_list.version,
             FIRST_RETRY_PAUSE_SECONDS,
         )
-        self._request_list(self.watch_wait)  # first, so that the watch goes on whatever the list holds
+        self._request_list(self.watch_wait)  # first: the watch continues whatever the list holds
         self._update_list(
             event.server_list, False, self.now if event.wall_clock is None else event.wall_clock
         )
 
     def _list_request_failed(self, event: ListRequestFailed) -> None:
-        """Rule 3: asked again before what discovery has counts as told, apart from the others by chance."""
+        """Requests the list again before it counts as known (rule 3), at a random time to spread the load."""
         self.list_requested = False
         if self.list_is_pushed:
             self._request_list(0.0, self.pushed_retry_pause)
-        elif event.silent:  # what it missed soon counts as told, so at once
+        elif event.silent:  # the changes it missed soon count as known
             self._request_list(0.0)
         else:
             self.balancer.list_request_failed(self.now)
-            began = (
-                self.now if self.request_is_watch else self.request_sent_at
-            )  # a watch had told all until it broke
-            left = max(0.0, began + NEXT_REQUEST_SECONDS - self.now)
-            self._request_list(0.0, min(self.retry_pause, left) * self.uniform(0.5, 1.0))
+            # A watch has delivered every change until it broke.
+            began = self.now if self.request_is_watch else self.request_sent_at
+            remaining = max(0.0, began + NEXT_REQUEST_SECONDS - self.now)
+            self._request_list(0.0, min(self.retry_pause, remaining) * self.uniform(0.5, 1.0))
             self.retry_pause = min(2 * self.retry_pause, NEXT_REQUEST_SECONDS)
 
     def _settings_reloaded(self, event: SettingsReloaded) -> None:
-        """Another discovery may count its versions anew, so the whole list is asked for."""
+        """Switches to another discovery, which may number its versions anew: requests the full list."""
         if event.discovery != self.discovery:
             self.discovery, self.list_version, self.list_requested = event.discovery, None, False
-            self.retry_pause = (
-                FIRST_RETRY_PAUSE_SECONDS  # that the one before was out of reach says nothing of this one
-            )
+            # That the former discovery was unreachable says nothing about this one.
+            self.retry_pause = FIRST_RETRY_PAUSE_SECONDS
             self.effects.append(effects.SwitchDiscovery(event.discovery, event.names))
             self._request_list(0.0)
 
-    def _update_list(self, listing: ServerList, cached: bool, wall: float) -> None:
-        for name, host, port in listing.addresses:
+    def _update_list(self, received: ServerList, cached: bool, wall_clock: float) -> None:
+        for name, host, port in received.addresses:
             self.addresses[name] = (host, port)
-        lines: Iterable[ServerEntry] = listing.servers
+        entries: Iterable[ServerEntry] = received.servers
         if self.membership is not None and not cached:
-            lines = self.membership.apply_list(lines, listing.addresses, listing.is_full, self.now)
+            entries = self.membership.apply_list(entries, received.addresses, received.is_full, self.now)
         before = self.balancer.active_servers
-        lines = self.start_times.translate(lines, self.now, wall, not cached)
-        lines = [line if line.server in self.addresses else line._replace(state="leaving") for line in lines]
-        self.guard.update_servers(lines, listing.is_full)
-        self.balancer.update_servers(lines, listing.is_full, cached, self.now)
+        entries = self.start_times.translate(entries, self.now, wall_clock, not cached)
+        entries = [
+            entry if entry.server in self.addresses else entry._replace(state="leaving") for entry in entries
+        ]
+        self.guard.update_servers(entries, received.is_full)
+        self.balancer.update_servers(entries, received.is_full, cached, self.now)
         if before is not self.balancer.active_servers:
             self.effects.extend(effects.ForgetServer(server.name) for server in before if not server.active)
 
-    def _request_list(self, hold: float, after: float = 0.0) -> None:
+    def _request_list(self, wait: float, delay: float = 0.0) -> None:
         if not self.list_requested:
             self.list_requested, self.request_is_watch, self.request_sent_at = (
                 True,
-                hold > 0.0,
-                self.now + after,
+                wait > 0.0,
+                self.now + delay,
             )
-            self.effects.append(effects.RequestList(self.list_version, hold, after))
+            self.effects.append(effects.RequestList(self.list_version, wait, delay))
 
     def _timer_due(self) -> None:
         if self.now < self.timer_due_at:
@@ -417,90 +418,92 @@
         self.balancer.timer_due(self.now)
 
     def _stop_requested(self) -> None:
-        """Moves all tunnels off, once no new connections come, evenly over the time that is left; then
-        answers the rest. However late it is called, the last round is not left out. Guards the servers, and
-        what all of them ask at a setup, against a part of the fleet that stops at one moment, each with few
-        tunnels: these moved in the first rounds. It hurts nobody but by an end that comes later."""
+        """Migrates all tunnels evenly over the remaining time, once no new connections arrive; then answers
+        the remaining clients. The last round runs however late this is called. Guards the servers, and a
+        service that all of them query at a setup, against many balancers that stop at once with few tunnels
+        each: all of those would migrate in the first rounds. The only cost is a later exit."""
         self.stop_requested_at = min(self.stop_requested_at, self.now)
-        left = self.stop_requested_at + self.stop_time_limit - self.now
-        rounds = max(1, int((left - STOP_SETTLE_SECONDS) / STOP_ROUND_SECONDS))
+        remaining = self.stop_requested_at + self.stop_time_limit - self.now
+        rounds = max(1, int((remaining - STOP_SETTLE_SECONDS) / STOP_ROUND_SECONDS))
         if self.exiting:
             return
         if self.now < self.stop_requested_at + STOP_ACCEPT_SECONDS and rounds > 1:
             self.effects.append(effects.ScheduleStop(STOP_ROUND_SECONDS))
             return
         self.effects.append(effects.CloseIdleClients())
-        standing = [c for c in self.clients.values() if c.tunnel.state is State.OPEN]
-        for client in standing[: self._round_randomly(len(standing) / rounds)]:
+        open_clients = [c for c in self.clients.values() if c.tunnel.state is State.OPEN]
+        for client in open_clients[: self._round_randomly(len(open_clients) / rounds)]:
             self.balancer.client_left(client.tunnel, self.now)
             self.migrate(client.tunnel)
             self.last_migration_at = self.now
         if rounds == 1:
             for client in [c for c in self.clients.values() if c.tunnel.state is not State.OPEN]:
                 self._answer_stopping(client)
-        quiet = (
+        settled = (
             self.now
             >= max(self.stop_requested_at + STOP_ACCEPT_SECONDS, self.last_migration_at) + STOP_SETTLE_SECONDS
         )
-        if rounds == 1 or (quiet and all(c.tunnel.state is State.ENDED for c in self.clients.values())):
+        if rounds == 1 or (settled and all(c.tunnel.state is State.ENDED for c in self.clients.values())):
             self.exiting = True
-            self.effects.append(effects.ExitProcess(max(left, 0.0)))
+            self.effects.append(effects.ExitProcess(max(remaining, 0.0)))
         else:
             self.effects.append(effects.ScheduleStop(STOP_ROUND_SECONDS))
 
     def _round_randomly(self, mean: float) -> int:
-        """The whole number under `mean`, or the one over it, so that it is that on the mean."""
+        """`mean` rounded up or down at random, so that the expected value is `mean`."""
         return int(mean + self.uniform(0.0, 1.0))
 
     def _answer_stopping(self, client: Client) -> None:
-        """The final answer of a tunnel that this balancer has no time left for."""
-        harmless = self.balancer.may_decline(client.tunnel)
+        """Gives a client its final answer because this balancer stops."""
+        may_decline = self.balancer.may_decline(client.tunnel)
         if client.previous_server is not None:
             client.previous_server = None
             self.effects.append(effects.AbandonSetup(client.number, 0))
         self.balancer.client_left(client.tunnel, self.now)
         if not client.answered:
-            self._answer(client, Decline(0.0) if harmless else Failure(), "stopping")
+            self._answer(client, Decline(0.0) if may_decline else Failure(), "stopping")
 
-    # What the module asks for (`pointgw.interface.Host`).
+    # `pointgw.interface.Host`: what the policy requests.
 
-    def setup(self, tun: Tunnel, ep: Server, patience: float) -> None:
-        client, number, address = self.client_of[tun], len(tun.setups) - 1, self.addresses[ep.name]
-        tun.setups[number].may_have_run = False  # until it is written: `may_write_request`
-        within = min(self.connect_timeout, patience)
+    def setup(self, tunnel: Tunnel, server: Server, timeout: float) -> None:
+        client, number, address = self.client_of[tunnel], len(tunnel.setups) - 1, self.addresses[server.name]
+        tunnel.setups[number].may_have_run = False  # until the request is written, see `may_write_request`
+        connect_timeout = min(self.connect_timeout, timeout)
         self.effects.append(
-            effects.Connect(client.number, number, address, client.request, patience, patience, within)
+            effects.Connect(client.number, number, address, client.request, timeout, timeout, connect_timeout)
         )
 
-    def cancel(self, tun: Tunnel, number: int) -> None:
-        self.effects.append(effects.AbandonSetup(self.client_of[tun].number, number))
-        self.pending_endings.append((tun, number, "cancelled" if tun.setups[number].may_have_run else "moot"))
+    def cancel(self, tunnel: Tunnel, number: int) -> None:
+        self.effects.append(effects.AbandonSetup(self.client_of[tunnel].number, number))
+        self.pending_endings.append(
+            (tunnel, number, "cancelled" if tunnel.setups[number].may_have_run else "moot")
+        )
 
-    def decline(self, tun: Tunnel, come_back: float) -> None:
+    def decline(self, tunnel: Tunnel, retry_after: float) -> None:
         if self.on_declined is not None:
-            self.on_declined(tun)
-        self._answer(self.client_of[tun], Decline(come_back), tun.refusal_reason)
+            self.on_declined(tunnel)
+        self._answer(self.client_of[tunnel], Decline(retry_after), tunnel.refusal_reason)
 
-    def close_with_error(self, tun: Tunnel) -> None:
-        self._answer(self.client_of[tun], Failure(), tun.refusal_reason)
+    def close_with_error(self, tunnel: Tunnel) -> None:
+        self._answer(self.client_of[tunnel], Failure(), tunnel.refusal_reason)
 
-    def _answer(self, client: Client, answer: Decline | Failure, why: str) -> None:
+    def _answer(self, client: Client, answer: Decline | Failure, reason: str) -> None:
         if check_invariant(not client.answered, "a tunnel gets one final answer"):
             client.answered = True
             if isinstance(answer, Decline) and not self.guard.may_refuse(client.number):
                 answer = Failure()
             self.guard.request_answered(client.number)
-            self.effects.append(effects.Reply(client.number, answer, why))
+            self.effects.append(effects.Reply(client.number, answer, reason))
             self._forget_if_finished(client)
 
-    def migrate(self, tun: Tunnel) -> None:
-        number = len(tun.setups) - 1
-        self.effects.append(effects.MigrateClient(self.client_of[tun].number, number))
-        self.pending_endings.append((tun, number, "cancelled"))
+    def migrate(self, tunnel: Tunnel) -> None:
+        number = len(tunnel.setups) - 1
+        self.effects.append(effects.MigrateClient(self.client_of[tunnel].number, number))
+        self.pending_endings.append((tunnel, number, "cancelled"))
 
-    def probe(self, ep: Server) -> None:
-        address = self.addresses[ep.name]
-        self.effects.append(effects.Probe(ep.name, address, self.probe_timeout, self.connect_timeout))
+    def probe(self, server: Server) -> None:
+        address = self.addresses[server.name]
+        self.effects.append(effects.Probe(server.name, address, self.probe_timeout, self.connect_timeout))
 
     def watch_list(self) -> None:
         self._request_list(0.0)
@@ -513,17 +516,17 @@
     # For the log.
 
     def figures(self) -> dict[str, object]:
-        """How things stand."""
+        """Counts for the log's state line."""
         states = [client.tunnel.state for client in self.clients.values()]
-        live = self.balancer.active_servers
-        declined = {f"declined_{why}": count for why, count in self.balancer.declined.items()}
+        active = self.balancer.active_servers
+        declined = {f"declined_{reason}": count for reason, count in self.balancer.declined.items()}
         return declined | {
             "open": states.count(State.OPEN),
             "setting_up": states.count(State.SETTING_UP),
             "held": states.count(State.QUEUED) + states.count(State.PROBING),
-            "servers": len(live),
-            "suspended": sum(ep.ejected_until > self.now for ep in live),
-            "cold": sum(ep.warm_at > self.now for ep in live),
+            "servers": len(active),
+            "suspended": sum(server.ejected_until > self.now for server in active),
+            "cold": sum(server.warm_at > self.now for server in active),
             "c": float(self.balancer.c),
             "watching": self.balancer.is_watching_list,
         }
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -415,7 +415,7 @@
         mark.store.release()
     made = SnapshotRunner.create(str(folder), started(), str(boot))
     assert made is not None
-    reducer = Reducer(started(), now, membership=made.membership, recalled=made.restored)
+    reducer = Reducer(started(), now, membership=made.membership, restored=made.restored)
     if made.restored is not None:
         restore_learned_state(reducer.balancer, made.restored, now)
     return reducer, made
