--- a/pointgw/net/core/__init__.py
+++ b/pointgw/net/core/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept, and the one reducer that changes it. No sockets, no clock."""
+"""State of a balancer process and the reducer that changes it. No sockets, no clock."""
--- a/pointgw/net/core/effects.py
+++ b/pointgw/net/core/effects.py
@@ -1,4 +1,4 @@
-"""What the reducer asks of the sockets' side."""
+"""Effects: what the reducer requests of the process's I/O. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Sets a tunnel up: dials a new connection. Its request is written once `WriteRequest` asks for it."""
+    """Starts a setup by dialling a server; its request is written on `WriteRequest`. Times in seconds."""
 
     client: int
     setup: int
     address: Address
     request: OpenRequest
-    remaining_time: float | None  # told to the server; None: the line goes on as it came
-    timeout: float  # for all of it
+    remaining_time: float | None  # sent to the server; None: the line is passed on unchanged
+    timeout: float  # of the whole setup
     connect_timeout: float
     delay: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRequest:
-    """The request of a setup whose connection is up."""
+    """Writes the request of a setup whose connection is established."""
 
     client: int
     setup: int
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AbandonSetup:
-    """Gives up a setup, or ends an open tunnel at its server."""
+    """Abandons a setup, or closes an open tunnel's connection to its server."""
 
     client: int
     setup: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The final answer to a client that was not opened; its connection ends with it. `why`: for the log."""
+    """Sends the final answer of a tunnel that was not opened, and closes the client; `reason` is logged."""
 
     client: int
     answer: Answer
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayTunnel:
-    """Passes the server's answer on, and then all lines both ways."""
+    """Passes on the server's answer, then all data in both directions."""
 
     client: int
     setup: int
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseClient:
-    """Ends a client's connection in the way its server did."""
+    """Closes a client's connection in the way its server did."""
 
     client: int
     reset: bool
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrateClient:
-    """Sends a client away politely and ends both sides."""
+    """Sends `MOVE` to a client and closes both connections of its tunnel."""
 
     client: int
     setup: int
@@ -76,6 +76,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Probes a server; timeouts in seconds."""
+
     server: str
     address: Address
     timeout: float
@@ -84,14 +86,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetServer:
-    """A server drains or is gone: a probe that waits for it is given up, its idle connection is closed."""
+    """A server is draining or removed: abandons its pending probe and closes its idle connection."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class SwitchDiscovery:
-    """Discovery has another address; a call that is out is given up."""
+    """Switches to another discovery; a request in progress is abandoned."""
 
     address: Address
     names: Names
@@ -99,7 +101,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestList:
-    """A call to discovery; `version`: the one known, `wait`: its longest wait, `delay`: until it goes out."""
+    """Requests the list after `version` (None: all of it); `wait`: how long discovery may hold the request,
+    `delay`: until it is sent, both in seconds."""
 
     version: int | None
     wait: float
@@ -108,27 +111,27 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """A `TimerDue` after a time."""
+    """Requests a `TimerDue` after `delay` seconds."""
 
     delay: float
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduleStop:
-    """Another `StopRequested` after a time."""
+    """Requests another `StopRequested` after `delay` seconds."""
 
     delay: float
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleClients:
-    """Ends the clients' connections on which nothing was asked for: this balancer stops."""
+    """Closes the client connections without a request: this balancer stops."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExitProcess:
-    """All tunnels are over: no connection is taken any more, and the process ends once those that are left
-    have ended, or after a time."""
+    """All tunnels have ended: stops accepting, and ends the process once the remaining connections have
+    ended, or after `time_limit` seconds."""
 
     time_limit: float
 
--- a/pointgw/net/core/events.py
+++ b/pointgw/net/core/events.py
@@ -1,4 +1,4 @@
-"""What the reducer is told. Clients are known by numbers that the sockets' side gives out."""
+"""Events: the reducer's input. Clients are identified by numbers that the process assigns."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientArrived:
-    """A client has sent its first line."""
+    """A client has sent its request for a tunnel."""
 
     client: int
     request: OpenRequest
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
-    """A client has ended its connection."""
+    """A client has closed or reset its connection."""
 
     client: int
     reset: bool
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetupConnected:
-    """The connection of a setup is up, and nothing was written to it."""
+    """The connection of a setup is established; nothing was written to it yet."""
 
     client: int
     setup: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetupOpened:
-    """A server has taken a tunnel."""
+    """A server has accepted a tunnel."""
 
     client: int
     setup: int
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A server tells what a tunnel asks of it."""
+    """A server reports the load of a tunnel."""
 
     client: int
     load: Load
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSlow:
-    """A server took so long to bring something back on an open tunnel, or has brought nothing so far."""
+    """On an open tunnel a server took `duration` seconds to respond; `silent`: it has not responded yet."""
 
     client: int
     duration: float
@@ -70,6 +70,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
+    """A probe has ended; `report` is empty without an answer."""
+
     server: str
     ending: Ending
     report: Report
@@ -77,8 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListReceived:
-    """Discovery has answered. `wall_clock`: the wall clock then, in Unix seconds; None: as the process's
-    clock."""
+    """Discovery has answered. `wall_clock`: Unix seconds at that time; None: equal to the process's clock."""
 
     server_list: ServerList
     wall_clock: float | None = None
@@ -86,14 +87,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ListRequestFailed:
-    """A call to discovery has failed. `silent`: a watch of which nothing came, its wait long over."""
+    """A list request has failed. `silent`: a watch without any answer well after its wait."""
 
     silent: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsReloaded:
-    """The start-up file was read again."""
+    """The start-up file was read again, with these settings of discovery."""
 
     discovery: tuple[str, int]
     names: Names
@@ -101,12 +102,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer is due."""
+    """The timer set last has fired."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """This balancer is to stop, or goes on stopping."""
+    """The stop signal has come, or the next round of the stop is due."""
 
 
 Event = (
--- a/pointgw/net/core/guard.py
+++ b/pointgw/net/core/guard.py
@@ -1,8 +1,8 @@
-"""What must hold of each request, checked against what was really asked of the sockets. No I/O, no clock.
+"""Checks the rules of delivery for each request against what was really sent. No I/O, no clock.
 
-The decisions keep these rules by their own state. The guard keeps a record of its own, of what was sent and
-answered and of what lists have told, and is asked once more before each request line and each final answer.
-What it refuses is not done, and counted: a count over nought is a fault of this program.
+The policy follows these rules by its own state. The guard keeps an independent record of requests sent,
+answers given and servers listed, and is consulted again before each request line and each final answer.
+What it refuses is not done but counted; a count above zero means a fault of this program.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Violation(Enum):
-    """A rule that would have been broken; its value is the name of the count."""
+    """A rule that an action would have violated; the value is the name of its counter."""
 
     UNKNOWN_REQUEST = "guard_unknown_request"
     AFTER_ANSWER = "guard_attempt_after_answer"
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class SentAttempt:
-    """A request line that was written."""
+    """An attempt whose request line was written."""
 
     server: str
     sent_at: float
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class GuardedRequest:
-    """One request, from its arrival until nothing of it is out."""
+    """A request, from its arrival until no attempt of it is in progress."""
 
     profile: Profile
     deadline: float
@@ -52,81 +52,86 @@
 
 
 class DeliveryGuard:
-    """`drain_binds_alone`: a server that is gone without having drained may still be sent to."""
+    """Record of requests, and of the servers that rule 3 excludes.
 
-    def __init__(self, drain_binds_alone: bool) -> None:
-        self.only_draining_excludes = drain_binds_alone
+    `only_draining_excludes`: a server that left the list without draining may still get requests.
+    """
+
+    def __init__(self, only_draining_excludes: bool) -> None:
+        self.only_draining_excludes = only_draining_excludes
         self.requests: dict[int, GuardedRequest] = {}
-        self.excluded: set[str] = set()  # servers that are to get nothing new
-        self.locations: dict[str, tuple[int, int]] = {}  # by server: its zone and its cell
-
-    # What has happened.
-
-    def update_servers(self, lines: Iterable[ServerEntry], whole: bool) -> None:
-        """A list, or changes to it."""
-        named = set()
-        for line in lines:
-            named.add(line.server)
-            self.locations[line.server] = line.zone, line.cell
-            if line.state == "active":
-                self.excluded.discard(line.server)
-            elif line.state == "leaving" or not self.only_draining_excludes:
-                self.excluded.add(line.server)
-        if whole and not self.only_draining_excludes:
-            self.excluded.update(self.locations.keys() - named)
+        self.excluded: set[str] = set()  # servers that must get nothing new
+        self.locations: dict[str, tuple[int, int]] = {}  # zone and cell of each server
+
+    # Events.
+
+    def update_servers(self, entries: Iterable[ServerEntry], is_full: bool) -> None:
+        """Records a full list or changes to it."""
+        listed = set()
+        for entry in entries:
+            listed.add(entry.server)
+            self.locations[entry.server] = entry.zone, entry.cell
+            if entry.state == "active":
+                self.excluded.discard(entry.server)
+            elif entry.state == "leaving" or not self.only_draining_excludes:
+                self.excluded.add(entry.server)
+        if is_full and not self.only_draining_excludes:
+            self.excluded.update(self.locations.keys() - listed)
 
     def request_arrived(self, request: int, profile: Profile, deadline: float) -> None:
         self.requests[request] = GuardedRequest(profile, deadline)
 
     def client_left(self, request: int) -> None:
-        """Its client has gone."""
+        """The client has closed its connection."""
         if request in self.requests:
             self.requests[request].client_left = True
 
     def request_answered(self, request: int) -> None:
-        """Its client has its final answer, or a server's."""
+        """The client has its final answer, from this balancer or from a server."""
         if request in self.requests:
             self.requests[request].answered = True
 
     def attempt_ended(self, request: int, attempt: int, ending: Ending) -> None:
-        """An attempt is over, or was given up."""
-        known = self.requests.get(request)
-        if known is not None and attempt in known.attempts:
-            sent = known.attempts[attempt]
+        """An attempt has ended or was abandoned."""
+        guarded = self.requests.get(request)
+        if guarded is not None and attempt in guarded.attempts:
+            sent = guarded.attempts[attempt]
             sent.in_progress, sent.may_have_run = False, ending not in NEVER_RAN
 
     def forget(self, request: int) -> None:
         self.requests.pop(request, None)
 
-    # What is about to be done.
+    # Checks before an action.
 
     def may_send(self, request: int, attempt: int, server: str, now: float) -> bool:
-        """Whether a request line may be written; if so it counts as sent."""
-        known = self.requests.get(request)
-        if not self._check(known is not None, Violation.UNKNOWN_REQUEST) or known is None:
+        """Whether a request line may be written; if so, records it as sent."""
+        guarded = self.requests.get(request)
+        if not self._check(guarded is not None, Violation.UNKNOWN_REQUEST) or guarded is None:
             return False
-        sound = (
-            self._check(not known.answered, Violation.AFTER_ANSWER)
-            and self._check(not known.client_left, Violation.AFTER_CLIENT_LEFT)
-            and self._check(now < known.deadline, Violation.AFTER_DEADLINE)
+        allowed = (
+            self._check(not guarded.answered, Violation.AFTER_ANSWER)
+            and self._check(not guarded.client_left, Violation.AFTER_CLIENT_LEFT)
+            and self._check(now < guarded.deadline, Violation.AFTER_DEADLINE)
             and self._check(
-                not any(sent.in_progress for sent in known.attempts.values()), Violation.TWO_IN_PROGRESS
+                not any(sent.in_progress for sent in guarded.attempts.values()), Violation.TWO_IN_PROGRESS
             )
-            and self._check(self._may_repeat(known, server, now), Violation.UNSAFE_REPEAT)
+            and self._check(self._may_repeat(guarded, server, now), Violation.UNSAFE_REPEAT)
             and self._check(server not in self.excluded, Violation.DRAINING)
         )
-        if sound:
-            known.attempts[attempt] = SentAttempt(server, now)
-        return sound
+        if allowed:
+            guarded.attempts[attempt] = SentAttempt(server, now)
+        return allowed
 
     def may_refuse(self, request: int) -> bool:
-        """Whether its client may be told that another try is harmless."""
-        known = self.requests.get(request)
-        return known is None or self._check(self._is_harmless_to_refuse(known), Violation.REFUSED_AFTER_RUN)
+        """Whether the client may be told that it can safely retry."""
+        guarded = self.requests.get(request)
+        return guarded is None or self._check(
+            self._is_harmless_to_refuse(guarded), Violation.REFUSED_AFTER_RUN
+        )
 
-    def _may_repeat(self, known: GuardedRequest, server: str, now: float) -> bool:
-        profile = known.profile
-        first = next((sent for sent in known.attempts.values() if sent.may_have_run), None)
+    def _may_repeat(self, guarded: GuardedRequest, server: str, now: float) -> bool:
+        profile = guarded.profile
+        first = next((sent for sent in guarded.attempts.values() if sent.may_have_run), None)
         if first is None or profile.semantics == "repeatable":
             return True
         if profile.semantics == "once-only" or now >= first.sent_at + profile.dedup_window:
@@ -135,9 +140,9 @@
         return {"all": True, "zone": zone == first_zone, "cell": cell == first_cell}[profile.dedup_scope]
 
     @staticmethod
-    def _is_harmless_to_refuse(known: GuardedRequest) -> bool:
-        profile = known.profile
-        if not any(sent.may_have_run for sent in known.attempts.values()):
+    def _is_harmless_to_refuse(guarded: GuardedRequest) -> bool:
+        profile = guarded.profile
+        if not any(sent.may_have_run for sent in guarded.attempts.values()):
             return True
         return profile.semantics == "repeatable" or (
             profile.semantics == "referenced" and profile.dedup_scope == "all"
--- a/pointgw/net/core/route.py
+++ b/pointgw/net/core/route.py
@@ -1,7 +1,7 @@
-"""Whose fault it is that a connection can't be made: the server's, or this machine's way to all of them.
+"""Tells whether a failed connection is the server's fault or a local one. No I/O, no clock.
 
-No I/O, no clock. An error number says of some faults that they are ours, as a lack of descriptors. A missing
-route may be either: it is held against a server only if another one was reached since it last failed so.
+Some error numbers prove a local fault, such as a lack of descriptors. A missing route may be either: it is
+attributed to a server only if another server was reached since the server's last failure of that kind.
 """
 
 from __future__ import annotations
@@ -12,35 +12,35 @@
 
 Address = tuple[str, int]
 
-# A lack of this machine's own.
+# Lack of a resource of this machine.
 LOCAL_FAULT_ERRNOS = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN)
 )
-# The way there: this machine's to all, or the server's.
+# No route, either from this machine to all servers or to this one.
 ROUTE_ERRNOS = frozenset((errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM))
-FAILURE_MEMORY_SECONDS = 30.0  # seconds for which a failure counts as the one before
+FAILURE_MEMORY_SECONDS = 30.0  # after this, a failure does not count as the previous one
 
 
 class RouteEvidence:
-    """What connections to servers have shown lately."""
+    """Recent results of connecting to servers."""
 
     def __init__(self) -> None:
-        self.failed_at: dict[Address, float] = {}  # by server: the last failure for want of a route
+        self.failed_at: dict[Address, float] = {}  # last failure of each server for lack of a route
         self.last_connected: list[
             tuple[Address, float]
-        ] = []  # the two servers reached last, the latest first
+        ] = []  # the two servers last reached, the latest first
 
     def record_connected(self, address: Address, now: float) -> None:
-        """A connection came up."""
+        """Records that a connection was established."""
         others = [(other, at) for other, at in self.last_connected if other != address]
         self.last_connected = [(address, now), *others[:1]]
         self.failed_at.pop(address, None)
 
-    def failure_ending(self, fault: OSError, address: Address, now: float) -> Ending:
-        """How an attempt ends whose connection failed: "moot" says nothing of the server."""
-        if fault.errno in LOCAL_FAULT_ERRNOS:
+    def failure_ending(self, error: OSError, address: Address, now: float) -> Ending:
+        """The ending of an attempt whose connection failed; "moot" is no evidence against the server."""
+        if error.errno in LOCAL_FAULT_ERRNOS:
             return "moot"
-        if fault.errno not in ROUTE_ERRNOS:
+        if error.errno not in ROUTE_ERRNOS:
             return "no-connection"
         before = self.failed_at.get(address)
         self.failed_at[address] = now
--- a/pointgw/net/core/start_times.py
+++ b/pointgw/net/core/start_times.py
@@ -1,9 +1,8 @@
-"""Servers' starts, told in wall-clock time, as times of this process's monotonic clock. No I/O, no clock.
+"""Translates servers' start times from wall-clock time to this process's monotonic clock. No I/O, no clock.
 
-Discovery tells when each server's process started as Unix time. The wall clock may step, at discovery
-and here, while a slow start is a span of real time. So each told start is translated once, when it is
-first heard, and is held to what this process saw itself: a start that it is told as news can't lie long
-before the last list that did not have it.
+Discovery reports when each server's process started as Unix time. The wall clock may step, at discovery
+and here, while a slow start takes real time. So each reported start is translated once, when first received,
+and bounded by what this process observed: a new start can't be long before the last list without it.
 """
 
 from __future__ import annotations
@@ -13,50 +12,61 @@
 from pointgw.interface import ServerEntry
 from pointgw.net.wire.server_list import INVALID_START
 
-NOT_STARTING = 0.0  # told for a server that is not starting
+NOT_STARTING = 0.0  # reported for a server that started long ago
 
-CLOCK_TOLERANCE_SECONDS = 0.5  # seconds that the two clocks may drift apart without a step
+CLOCK_TOLERANCE_SECONDS = 0.5  # a larger difference of the clocks is a step of one of them
 
 
 class StartTimes:
-    """`warm_up`: seconds after which it makes no difference when a server started."""
+    """Start times of the servers. `warm_up_window`: seconds after which the start makes no difference."""
 
-    def __init__(self, warm_up: float) -> None:
-        self.warm_up_window = warm_up
-        self.starts: dict[str, tuple[float, float]] = {}  # by server: the start as told, and as translated
-        self.last_list_at: float | None = None  # when discovery told a list last; None: never yet
+    def __init__(self, warm_up_window: float) -> None:
+        self.warm_up_window = warm_up_window
+        self.starts: dict[str, tuple[float, float]] = {}  # each server's start as reported, and as translated
+        self.last_list_at: float | None = None  # when the last list was received; None: not yet
 
     def translate(
-        self, lines: Iterable[ServerEntry], now: float, wall: float, heard: bool
+        self, entries: Iterable[ServerEntry], now: float, wall_clock: float, received: bool
     ) -> Iterator[ServerEntry]:
-        """Lines with their starts on this process's clock, which shows `now` as the wall clock shows `wall`.
+        """Yields the entries with starts on this process's clock; `now` and `wall_clock` are the same moment.
 
-        `heard`: discovery has told them just now; False: they are of the start-up file.
+        `received`: discovery sent them just now; False: they come from the start-up file.
         """
-        since, self.last_list_at = self.last_list_at, now if heard else self.last_list_at
-        for line in lines:
-            known = self.starts.get(line.server)
-            if known is None or known[0] != line.started_at:
-                known = (
-                    line.started_at,
-                    self._translate_start(line.started_at, known is not None, now, wall, since),
+        previous_list_at, self.last_list_at = self.last_list_at, now if received else self.last_list_at
+        for entry in entries:
+            start = self.starts.get(entry.server)
+            if start is None or start[0] != entry.started_at:
+                start = (
+                    entry.started_at,
+                    self._translate_start(
+                        entry.started_at, start is not None, now, wall_clock, previous_list_at
+                    ),
                 )
-                self.starts[line.server] = known
-            yield line if known[1] == line.started_at else line._replace(started_at=known[1])
+                self.starts[entry.server] = start
+            yield entry if start[1] == entry.started_at else entry._replace(started_at=start[1])
 
     def _translate_start(
-        self, told: float, restarted: bool, now: float, wall: float, since: float | None
+        self, reported: float, restarted: bool, now: float, wall_clock: float, previous_list_at: float | None
     ) -> float:
-        """The start on this process's clock. A step shows as a difference between the clocks, and the told
-        time may be from before or after it. The latest start that is possible counts: it bears least."""
-        if told == NOT_STARTING:
+        """The start on this process's clock. A step shows as a difference between the clocks, and the
+        reported time may be from before or after it. The latest possible start counts, as it allows the
+        least load."""
+        if reported == NOT_STARTING:
             return NOT_STARTING
-        if told == INVALID_START:
+        if reported == INVALID_START:
             return now
-        stepped = abs(wall - now) > CLOCK_TOLERANCE_SECONDS
-        ages = [age for age in (now - told, wall - told) if age >= 0.0] if stepped else [now - told]
+        stepped = abs(wall_clock - now) > CLOCK_TOLERANCE_SECONDS
+        ages = (
+            [age for age in (now - reported, wall_clock - reported) if age >= 0.0]
+            if stepped
+            else [now - reported]
+        )
         age = min(ages, default=0.0)
-        longest = now - since + self.warm_up_window if since is not None and restarted else None
-        if age < 0.0 or (longest is not None and age > longest):
+        max_age = (
+            now - previous_list_at + self.warm_up_window
+            if previous_list_at is not None and restarted
+            else None
+        )
+        if age < 0.0 or (max_age is not None and age > max_age):
             return now
-        return told if age == now - told else now - age
+        return reported if age == now - reported else now - age
--- a/pointgw/net/invariant.py
+++ b/pointgw/net/invariant.py
@@ -1,4 +1,4 @@
-"""What must hold: asserted in debug runs, counted and logged under `python -O`."""
+"""Checks of invariants: asserted in debug runs, counted and logged under `python -O`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 def check_invariant(holds: bool, what: str) -> bool:
-    """True if it holds. `what` names the fault in a few fixed words, so that it can be counted."""
+    """Returns `holds`. `what` names the violation in a few fixed words, by which it is counted.
+
+    Raises AssertionError on a violation, except under `python -O`.
+    """
     if holds:
         return True
     if __debug__:
