--- a/pointgw/net/wire/__init__.py
+++ b/pointgw/net/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Spoken on the sockets. Pure: each message is decoded once into a small typed value and encoded once."""
+"""Codecs of the protocols on sockets. Pure: each message is decoded or encoded once, as a typed value."""
--- a/pointgw/net/wire/lines.py
+++ b/pointgw/net/wire/lines.py
@@ -1,4 +1,4 @@
-"""The lines that clients, balancers and servers send one another."""
+"""Codec of the line protocol between clients, balancers and servers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pointgw.site import Malformed, parse_report
 
 LINE_END = b"\r\n"
-MAX_LINE_BYTES = 4096  # bytes of a line, its end included
+MAX_LINE_BYTES = 4096  # including its line end
 PING, PONG, STATS, MOVE, ERR = b"PING", b"PONG", b"STATS", b"MOVE", b"ERR"
 DEADLINE_PATTERN = re.compile(r"\d{1,9}(\.\d{1,6})?")  # milliseconds
 ENDINGS: dict[bytes, Ending] = {b"BYE": "ok", b"ERR": "error", b"BUSY": "full", b"MOVE": "cancelled"}
@@ -18,65 +18,68 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """The front asks whether this balancer is there."""
+    """A health check of this balancer by the front end."""
 
 
 @dataclass(frozen=True, slots=True)
 class OpenRequest:
-    """A client asks for a tunnel."""
+    """A client requests a tunnel."""
 
     name: str
     key: str
     profile: str
     tenant: str
     group: str
-    remaining_time: float | None  # seconds until the client gives up; None: not told
+    remaining_time: float | None  # seconds until the client gives up; None: not given
     is_returning: bool
-    current_server: str  # the server that has this tunnel already, or nothing
-    line_before_deadline: bytes  # the line as it came, up to the value of `d`
-    line_after_deadline: bytes  # and from there on
+    current_server: str  # the server that has this tunnel already; empty: none
+    line_before_deadline: bytes  # the line as received, up to the value of `d`
+    line_after_deadline: bytes  # the line as received, after that value
 
 
 @dataclass(frozen=True, slots=True)
 class Up:
-    """A server has taken the tunnel. `line` is the client's answer."""
+    """A server has accepted the tunnel; `line` is passed on to the client."""
 
     line: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class EndLine:
-    """A server says that a setup, a tunnel or a probe ends, or how it fared."""
+    """A server ends a setup or a tunnel, or answers a probe."""
 
     ending: Ending
     report: Report
-    has_invalid_report: bool = False  # it had a report that can't be used
+    has_invalid_report: bool = False  # the line had a report that can't be used
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What a tunnel asks of its server now, as work a second."""
+    """The current load of a tunnel on its server, in work per second."""
 
     load: float
 
 
 @dataclass(frozen=True, slots=True)
 class Decline:
-    """The answer to a client that trying again is harmless."""
+    """The final answer that tells a client it can safely retry."""
 
     retry_after: float  # seconds; 0: no advice
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """The answer to a client that promises nothing."""
+    """The final answer that does not tell whether a retry is safe."""
 
 
 Answer = Decline | Failure
 
 
 def pop_line(buffer: bytearray) -> bytes | None:
-    """Takes the first whole line off a buffer, without its end; None while there is none."""
+    """Removes the first complete line from a buffer and returns it without its end; None: no complete line.
+
+    Raises Malformed on a line that is too long.
+    """
     at = buffer.find(b"\n", 0, MAX_LINE_BYTES)
     if at < 0:
         if len(buffer) >= MAX_LINE_BYTES:
@@ -88,7 +91,7 @@
 
 
 def parse_client_line(line: bytes) -> Ping | OpenRequest:
-    """The first line of a client's connection."""
+    """Decodes the first line of a client's connection. Raises Malformed."""
     if line == PING:
         return Ping()
     word, _, rest = line.partition(b" ")
@@ -100,16 +103,16 @@
         raise Malformed(f"expected OPEN ID KEY PAIRS, got {line[:80]!r}") from None
     items = [pair.partition("=") for pair in pairs.split(",")]
     fields = {word: value for word, _, value in items}
-    # Guards against a line that this balancer and a server would read in two ways.
-    plain = pairs.isprintable() and all(word.isidentifier() and found for word, found, _ in items)
-    if not (name and key and plain and len(fields) == len(items)):
+    # Guards against a line that this balancer and a server would read differently.
+    is_unambiguous = pairs.isprintable() and all(word.isidentifier() and found for word, found, _ in items)
+    if not (name and key and is_unambiguous and len(fields) == len(items)):
         raise Malformed(f"expected an id, a key and names with one value each, got {line[:80]!r}")
-    patience: float | None = None
+    remaining_time: float | None = None
     before, after = line, b""
     if "d" in fields:
         if not DEADLINE_PATTERN.fullmatch(fields["d"]) or not float(fields["d"]):
             raise Malformed(f"expected d as milliseconds, got {fields['d'][:80]!r}")
-        patience = float(fields["d"]) / 1e3
+        remaining_time = float(fields["d"]) / 1e3
         start = len(line) - len(pairs) + (0 if pairs.startswith("d=") else pairs.index(",d=") + 1) + 2
         before, after = line[:start], line[start + len(fields["d"]) :]
     return OpenRequest(
@@ -118,7 +121,7 @@
         profile=fields.get("c", ""),
         tenant=fields.get("t", ""),
         group=fields.get("g", ""),
-        remaining_time=patience,
+        remaining_time=remaining_time,
         is_returning=fields.get("again", "0") not in ("", "0"),
         current_server=fields.get("at", ""),
         line_before_deadline=before,
@@ -126,18 +129,18 @@
     )
 
 
-def encode_open_request(opening: OpenRequest, patience: float | None) -> bytes:
-    """The line for a server: as it came, but for the time that this balancer will wait."""
-    if opening.remaining_time is None or patience is None:
-        told = b"" if opening.remaining_time is None else b"%d" % round(opening.remaining_time * 1e3)
+def encode_open_request(request: OpenRequest, timeout: float | None) -> bytes:
+    """The line for a server: as received, but for its deadline `d`, which is `timeout` (seconds)."""
+    if request.remaining_time is None or timeout is None:
+        deadline = b"" if request.remaining_time is None else b"%d" % round(request.remaining_time * 1e3)
     else:
-        told = b"%d" % max(1, int(patience * 1e3))
-    return opening.line_before_deadline + told + opening.line_after_deadline + LINE_END
+        deadline = b"%d" % max(1, int(timeout * 1e3))
+    return request.line_before_deadline + deadline + request.line_after_deadline + LINE_END
 
 
 def parse_server_line(line: bytes) -> Up | EndLine | Load | None:
-    """A line of a server on a tunnel's connection; None: one that is the client's, or an `UP` without a
-    receipt, which no server gives."""
+    """Decodes a server's line on a tunnel's connection; None: a line for the client, or an `UP` without the
+    receipt that servers give."""
     word, _, rest = line.partition(b" ")
     if word == b"UP" and rest.strip():
         return Up(line + LINE_END)
@@ -152,12 +155,13 @@
 
 
 def parse_probe_line(line: bytes) -> EndLine:
-    """The answer to a probe."""
+    """Decodes the answer to a probe."""
     word, _, rest = line.partition(b" ")
     return _parse_end_line("ok" if word == PONG else "error", rest)
 
 
 def encode_answer(answer: Answer) -> bytes:
+    """The line of a final answer."""
     if isinstance(answer, Failure):
         return ERR + LINE_END
     return (
@@ -166,10 +170,10 @@
 
 
 def _parse_end_line(ending: Ending, rest: bytes) -> EndLine:
-    """A report that can't be read, or has a figure under nought, is none: its line still says how it went."""
+    """A report that is unreadable or has a negative value is dropped; the ending of its line still counts."""
     try:
-        told = parse_report(rest.decode("ascii").strip(), "=")
+        report = parse_report(rest.decode("ascii").strip(), "=")
     except (Malformed, UnicodeDecodeError):
         return EndLine(ending, {}, True)
-    sound = all(figure >= 0 for figure in told.values())
-    return EndLine(ending, told if sound else {}, not sound)
+    is_valid = all(value >= 0 for value in report.values())
+    return EndLine(ending, report if is_valid else {}, not is_valid)
--- a/pointgw/net/wire/server_list.py
+++ b/pointgw/net/wire/server_list.py
@@ -1,4 +1,4 @@
-"""The server list as discovery tells it: JSON over HTTP/1.1."""
+"""Codec of the server list as discovery sends it: JSON over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from pointgw.site import Malformed
 
 LIST_PATH = "/registry/instances"
-MAX_BODY_BYTES = 4 * 1024 * 1024  # bytes of an answer
-MAX_HEAD_BYTES = 64 * 1024  # bytes until its body begins, what came of that with it included
-INVALID_START = -1.0  # in place of a start that can't be read
-UNKNOWN_CELL = -1  # of an entry whose group can't be read
+MAX_BODY_BYTES = 4 * 1024 * 1024
+MAX_HEAD_BYTES = 64 * 1024  # before the body, including what arrived of the body with the head
+INVALID_START = -1.0  # in place of an unreadable start time
+UNKNOWN_CELL = -1  # in place of an unreadable group
 STATES: dict[str, Literal["active", "leaving", "left"]] = {
     "up": "active", "draining": "leaving", "removed": "left",
 }  # fmt: skip
@@ -33,72 +33,73 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """The list or what changed of it."""
+    """A full list or changes to it."""
 
     version: int
     is_full: bool
     servers: tuple[ServerEntry, ...]
-    addresses: tuple[tuple[str, str, int], ...]  # a server's name, its host and port
-    invalid_entries: int = 0  # entries that were left out or read in part
+    addresses: tuple[tuple[str, str, int], ...]  # server name, host, port
+    invalid_entries: int = 0  # entries left out or read in part
 
 
 def parse_server_list(value: Any, names: Names) -> ServerList:
-    """The list of an answer. Raises Malformed where it is none.
+    """Reads the list in a decoded JSON value. Raises Malformed if there is none.
 
-    An entry that can't be used hides no other: guards rule 3, as all that the answer tells counts as told.
-    One without a name is left out; a figure or a status out of range is replaced by what binds most.
+    An invalid entry does not hide the others: guards rule 3, as every entry of an answer counts as known.
+    An entry without a name is left out; an invalid status or value is replaced by the most restrictive one
+    (a weight by 1).
     """
     servers: list[ServerEntry] = []
     addresses: list[tuple[str, str, int]] = []
-    unusable = 0
+    invalid_entries = 0
     try:
-        index, whole, entries = int(value["index"]), bool(value["snapshot"]), iter(value["endpoints"])
-    except (KeyError, TypeError, ValueError, OverflowError) as fault:
-        raise Malformed(f"expected a list of servers: {type(fault).__name__} {fault}") from None
+        version, is_full, entries = int(value["index"]), bool(value["snapshot"]), iter(value["endpoints"])
+    except (KeyError, TypeError, ValueError, OverflowError) as error:
+        raise Malformed(f"expected a list of servers: {type(error).__name__} {error}") from None
     for entry in entries:
         if not isinstance(entry, dict) or not isinstance(entry.get("name"), str):
-            unusable += 1
+            invalid_entries += 1
             continue
-        line, sound = _parse_entry(entry, names)
-        servers.append(line)
+        parsed, is_valid = _parse_entry(entry, names)
+        servers.append(parsed)
         address = _parse_address(entry.get("address"))
         if address is not None:
-            addresses.append((line.server, *address))
-        unusable += not sound or (address is None and bool(entry.get("address")))
-    return ServerList(index, whole, tuple(servers), tuple(addresses), unusable)
+            addresses.append((parsed.server, *address))
+        invalid_entries += not is_valid or (address is None and bool(entry.get("address")))
+    return ServerList(version, is_full, tuple(servers), tuple(addresses), invalid_entries)
 
 
 def _parse_entry(entry: dict[str, Any], names: Names) -> tuple[ServerEntry, bool]:
-    """One entry, and whether all of it could be read."""
+    """Reads an entry; tells whether all of it was valid."""
     started, weight = (
         _parse_non_negative(entry.get("since_ms") or 0),
         _parse_non_negative(entry.get("weight", 1.0)),
     )
     cell, status = _parse_non_negative(entry.get("group") or 0), entry.get("status")
     state = STATES.get(status, "leaving") if isinstance(status, str) else "leaving"
-    line = ServerEntry(
+    parsed = ServerEntry(
         server=entry["name"],
-        state=state,  # an unknown word allows nothing new
+        state=state,  # an unknown status allows nothing new
         kind=_index_of(entry.get("type"), names.kinds),
         cell=int(cell) if cell is not None else UNKNOWN_CELL,
         zone=_index_of(entry.get("zone"), names.zones),
         started_at=started / 1e3 if started is not None else INVALID_START,
         weight=weight if weight is not None else 1.0,
     )
-    return line, None not in (started, weight, cell) and isinstance(status, str)
+    return parsed, None not in (started, weight, cell) and isinstance(status, str)
 
 
-def _parse_non_negative(told: Any) -> float | None:
-    """A finite figure of nought or more; None: it is none."""
+def _parse_non_negative(value: Any) -> float | None:
+    """A finite number, zero or more; None: `value` is not one."""
     try:
-        figure = float(told)
+        number = float(value)
     except (TypeError, ValueError, OverflowError):
         return None
-    return figure if 0.0 <= figure < math.inf else None
+    return number if 0.0 <= number < math.inf else None
 
 
-def _parse_address(told: Any) -> tuple[str, int] | None:
-    host, _, port = str(told).rpartition(":")
+def _parse_address(value: Any) -> tuple[str, int] | None:
+    host, _, port = str(value).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 2**16:
         return None
     return host, int(port)
@@ -109,47 +110,47 @@
 
 
 def parse_server_list_body(data: bytes, names: Names) -> ServerList:
+    """Reads the list in the body of an HTTP response. Raises Malformed."""
     try:
         return parse_server_list(json.loads(data), names)
-    except (ValueError, RecursionError) as fault:
-        raise Malformed(f"expected JSON: {fault}") from None
+    except (ValueError, RecursionError) as error:
+        raise Malformed(f"expected JSON: {error}") from None
 
 
-def encode_list_request(host: str, after: int | None, hold: float) -> bytes:
-    """Asks for the whole list, or for what comes after a version, within so many seconds."""
-    query = "" if after is None else f"?from={after}&hold_ms={round(hold * 1e3)}"
+def encode_list_request(host: str, version: int | None, wait: float) -> bytes:
+    """The request for the full list (None), or for changes after `version`, held for up to `wait` seconds."""
+    query = "" if version is None else f"?from={version}&hold_ms={round(wait * 1e3)}"
     return f"GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
 
 
 class Response:
-    """Reads one HTTP answer after another; `take_done` tells once of each that is whole.
+    """Parses successive HTTP responses on a connection; `pop_complete` is true once for each complete one.
 
-    Raises `Malformed` on what is no answer, is too large, or goes on after an answer: calls go out one at a
-    time, so what comes beside the answer to the one that is out was asked for by nobody.
+    Raises Malformed on a response that is invalid, too large, or followed by more data: requests are sent one
+    at a time, so data beyond the response to the current one was not requested.
     """
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
-        self.head_bytes = 0  # bytes that came since the answer began, until its body
+        self.head_bytes = 0  # received since the response began, until its body
         self.is_complete = self.in_body = self.keep_alive = False
-        self.has_declared_length = (
-            False  # its head tells where the body ends; else the end of the connection does
-        )
+        self.has_declared_length = False  # else the body lasts to the end of the connection
 
     def feed(self, data: bytes) -> None:
+        """Parses received bytes. Raises Malformed."""
         if not self.in_body:
             self.head_bytes += len(data)
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserError as fault:
-            raise Malformed(f"expected HTTP: {fault}") from None
+        except httptools.HttpParserError as error:
+            raise Malformed(f"expected HTTP: {error}") from None
         if not self.in_body and not self.is_complete and self.head_bytes > MAX_HEAD_BYTES:
-            raise Malformed(f"expected the head of an answer within {MAX_HEAD_BYTES} bytes")
+            raise Malformed(f"expected the head of a response within {MAX_HEAD_BYTES} bytes")
 
     def on_message_begin(self) -> None:
         if self.is_complete:
-            raise ValueError("another answer after the one that was asked for")
+            raise ValueError("a second response to one request")
         self.body.clear()
         self.in_body = self.has_declared_length = False
 
@@ -169,17 +170,19 @@
 
     def on_message_complete(self) -> None:
         self.is_complete, self.in_body, self.head_bytes = True, False, 0
-        self.keep_alive = self.parser.should_keep_alive()  # told here only: afterwards it is always False
+        self.keep_alive = self.parser.should_keep_alive()  # valid only here: afterwards always False
 
     def stream_ended(self) -> bool:
-        """The connection has ended; True: an answer was whole with that (RFC 9112, 6.3)."""
+        """Call when the connection has ended; True: that completes a response (RFC 9112, section 6.3)."""
         self.keep_alive = False
         return self.in_body and not self.has_declared_length
 
     def pop_complete(self) -> bool:
-        done, self.is_complete = self.is_complete, False
-        return done
+        """Whether a response is complete; True once for each."""
+        was_complete, self.is_complete = self.is_complete, False
+        return was_complete
 
     @property
     def status(self) -> int:
+        """HTTP status code."""
         return self.parser.get_status_code()
--- a/pointgw/net/wire/start_up.py
+++ b/pointgw/net/wire/start_up.py
@@ -1,4 +1,4 @@
-"""What a balancer is told at its start: JSON."""
+"""The start-up file of a balancer process: JSON."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StartUpSettings:
+    """Contents of a start-up file. Times in seconds."""
+
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
@@ -22,16 +24,18 @@
     profiles: tuple[str, ...]
     tenants: tuple[str, ...]
     connect_timeout: float
-    descriptors: int  # that the platform lets this process hold; 0: not told
+    descriptors: int  # limit that the platform sets; 0: not given
     known_list: ServerList
-    balancer_index: int = -1  # among the balancers; -1: not told
-    peers: tuple[tuple[str, int], ...] = ()  # all balancers', by number; none: the platform bars talk
+    balancer_index: int = -1  # among the balancers; -1: not given
+    peers: tuple[
+        tuple[str, int], ...
+    ] = ()  # addresses of all balancers, by index; empty: not allowed to talk
     peer_listen: tuple[str, int] | None = None
-    drain_grace: float = 0.1  # after a telling, how long a server may still be sent something
+    drain_grace: float = 0.1  # how long a server may still get requests after it is known to drain
 
 
 def flatten(value: Any, path: str = "") -> Fields:
-    """Nested JSON as the fields that `site` reads: lists of plain values joined, objects counted."""
+    """Nested JSON as the flat fields of `parse_site`: lists of plain values are joined, objects counted."""
     if isinstance(value, dict):
         fields: Fields = {}
         for name, inner in value.items():
@@ -50,30 +54,31 @@
 
 
 def parse_start_up_file(data: bytes) -> StartUpSettings:
+    """Reads a start-up file. Raises Malformed."""
     try:
-        told = json.loads(data)
-        settings = told["settings"]
+        start = json.loads(data)
+        settings = start["settings"]
         names = Names(_names(settings.get("zones")), _names(settings.get("kinds")))
         fields = flatten(settings)
         return StartUpSettings(
-            name=str(told["name"]),
-            listen=_address(told["listen"]),
-            discovery=_address(told["discovery"]),
-            seed=int(str(told["seed"]), 16),
+            name=str(start["name"]),
+            listen=_address(start["listen"]),
+            discovery=_address(start["discovery"]),
+            seed=int(str(start["seed"]), 16),
             site=parse_site(fields),
             names=names,
             profiles=_names(settings.get("profiles")),
             tenants=_names(settings.get("tenants")),
             connect_timeout=read_seconds(fields, "limits.connectTimeout", 0.25),
-            descriptors=max(0, int((told.get("limits") or {}).get("sockets") or 0)),
-            known_list=parse_server_list(told["known"], names),
+            descriptors=max(0, int((start.get("limits") or {}).get("sockets") or 0)),
+            known_list=parse_server_list(start["known"], names),
             balancer_index=int(settings.get("me", -1)),
-            peers=tuple(_address(peer) for peer in told.get("peers") or ()),
-            peer_listen=_address(told["peer_listen"]) if told.get("peer_listen") else None,
+            peers=tuple(_address(peer) for peer in start.get("peers") or ()),
+            peer_listen=_address(start["peer_listen"]) if start.get("peer_listen") else None,
             drain_grace=read_seconds(fields, "rules.stopSendingWithin", 0.1),
         )
-    except (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError) as fault:
-        raise Malformed(f"expected the start-up JSON: {type(fault).__name__} {fault}") from None
+    except (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError) as error:
+        raise Malformed(f"expected the start-up JSON: {type(error).__name__} {error}") from None
 
 
 def _names(items: Any) -> tuple[str, ...]:
@@ -81,8 +86,8 @@
 
 
 def _address(value: str) -> tuple[str, int]:
-    host, _, told = value.rpartition(":")
-    port = int(told)
+    host, _, port_text = value.rpartition(":")
+    port = int(port_text)
     if not 0 <= port < 2**16:
         raise ValueError(f"port {port}")
     return host, port
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -27,15 +27,15 @@
 
 
 def test_a_first_line_is_decoded() -> None:
-    opening = lines.parse_client_line(OPEN)
-    assert isinstance(opening, lines.OpenRequest)
-    got = (opening.name, opening.key, opening.profile, opening.tenant, opening.group, opening.current_server)
+    request = lines.parse_client_line(OPEN)
+    assert isinstance(request, lines.OpenRequest)
+    got = (request.name, request.key, request.profile, request.tenant, request.group, request.current_server)
     assert got == ("9b1f", "7f3a", "chat", "acme", "5c0f", "")
-    assert (opening.remaining_time, opening.is_returning) == (2.0, True)
+    assert (request.remaining_time, request.is_returning) == (2.0, True)
 
 
 @pytest.mark.parametrize(
-    ("line", "patience", "sent"),
+    ("line", "timeout", "sent"),
     [
         (OPEN, 0.3, b"OPEN 9b1f 7f3a c=chat,t=acme,d=300,g=5c0f,again=1\r\n"),
         (OPEN, None, OPEN + b"\r\n"),
@@ -44,12 +44,12 @@
         (b"OPEN 1 2 c=chat", 0.02, b"OPEN 1 2 c=chat\r\n"),
     ],
 )
-def test_a_server_gets_the_line_as_it_came_but_for_the_time(
-    line: bytes, patience: float | None, sent: bytes
+def test_a_server_gets_the_line_unchanged_but_for_the_deadline(
+    line: bytes, timeout: float | None, sent: bytes
 ) -> None:
-    opening = lines.parse_client_line(line)
-    assert isinstance(opening, lines.OpenRequest)
-    assert lines.encode_open_request(opening, patience) == sent
+    request = lines.parse_client_line(line)
+    assert isinstance(request, lines.OpenRequest)
+    assert lines.encode_open_request(request, timeout) == sent
 
 
 BAD_FIELDS = (b"", b"c", b"=a", b"c=a,,t=b", b"c=a,c=b", b" d=5", b"c=\x00", b"\xff")
@@ -109,26 +109,33 @@
     assert lines.encode_answer(answer) == sent
 
 
-def test_lines_are_cut_where_they_end() -> None:
+def test_lines_are_split_at_their_ends() -> None:
     buffer = bytearray(b"PING\r\nOPEN")
     assert lines.pop_line(buffer) == b"PING" and lines.pop_line(buffer) is None and buffer == b"OPEN"
-    # Guards against a peer that fills the memory with a line that never ends.
-    for much in (b"x" * lines.MAX_LINE_BYTES, b"x" * 5000 + b"\r\n"):
+    # Guards against a peer that fills the memory with an endless line.
+    for too_long in (b"x" * lines.MAX_LINE_BYTES, b"x" * 5000 + b"\r\n"):
         with pytest.raises(Malformed):
-            lines.pop_line(bytearray(much))
+            lines.pop_line(bytearray(too_long))
 
 
 def test_a_list_is_decoded() -> None:
-    told = parse_server_list_body(
+    server_list = parse_server_list_body(
         json.dumps({"index": 43, "snapshot": False, "endpoints": [ENTRY]}).encode(), NAMES
     )
-    assert (told.version, told.is_full, told.addresses) == (43, False, (("s-1", "127.1.0.18", 8443),))
-    assert told.servers[0] == ("s-1", "leaving", 1, 3, 1, 2.5, 1.5)
-    later = [ENTRY | {"status": "resting"}, ENTRY | {"zone": "z", "type": "m9", "more": 1}]
-    told = parse_server_list_body(
-        json.dumps({"index": 44, "snapshot": True, "endpoints": later}).encode(), NAMES
+    assert (server_list.version, server_list.is_full, server_list.addresses) == (
+        43,
+        False,
+        (("s-1", "127.1.0.18", 8443),),
     )
-    assert [(s.state, s.zone, s.kind) for s in told.servers] == [("leaving", 1, 1), ("leaving", -1, -1)]
+    assert server_list.servers[0] == ("s-1", "leaving", 1, 3, 1, 2.5, 1.5)
+    changed = [ENTRY | {"status": "resting"}, ENTRY | {"zone": "z", "type": "m9", "more": 1}]
+    server_list = parse_server_list_body(
+        json.dumps({"index": 44, "snapshot": True, "endpoints": changed}).encode(), NAMES
+    )
+    assert [(s.state, s.zone, s.kind) for s in server_list.servers] == [
+        ("leaving", 1, 1),
+        ("leaving", -1, -1),
+    ]
 
 
 @pytest.mark.parametrize(
@@ -147,7 +154,7 @@
         parse_server_list_body(data, NAMES)
 
 
-def test_an_answer_of_discovery_may_come_in_pieces() -> None:
+def test_a_response_of_discovery_may_arrive_in_pieces() -> None:
     response = Response()
     for byte in b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}":
         response.feed(bytes([byte]))
@@ -156,13 +163,13 @@
     assert response.status == 503 and response.pop_complete() and not response.pop_complete()
     with pytest.raises(Malformed):
         response.feed(b"nonsense\r\n\r\n")
-    # Guards the memory limit against an answer without end.
+    # Guards the memory limit against an endless response.
     with pytest.raises(Malformed):
         Response().feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9999999\r\n\r\n" + b" " * (MAX_BODY_BYTES + 1))
-    # Guards a watch against what nobody asked for: it would be taken for the next call's answer.
-    answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
+    # Guards a watch against an unrequested response: it would be taken for the response to the next request.
+    response_bytes = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
     with pytest.raises(Malformed):
-        Response().feed(answer + answer)
+        Response().feed(response_bytes + response_bytes)
     endless = Response()
     endless.feed(b"HTTP/1.1 200 OK\r\n")
     with pytest.raises(Malformed):
@@ -185,34 +192,34 @@
         ("null", None),
     ],
 )
-def test_an_entry_out_of_range_is_read_as_what_binds_most_and_hides_no_other(
+def test_an_invalid_entry_is_read_as_the_most_restrictive_and_hides_no_other(
     entry: str, read: tuple[object, ...] | None
 ) -> None:
-    sound = '{"name":"t","status":"draining","address":"127.0.0.1:7"}'
-    told = parse_server_list_body(
-        f'{{"index":1,"snapshot":true,"endpoints":[{entry},{sound}]}}'.encode(), Names((), ())
+    valid = '{"name":"t","status":"draining","address":"127.0.0.1:7"}'
+    server_list = parse_server_list_body(
+        f'{{"index":1,"snapshot":true,"endpoints":[{entry},{valid}]}}'.encode(), Names((), ())
     )
-    assert told.invalid_entries == 1 and told.addresses == (("t", "127.0.0.1", 7),)
-    assert told.servers[-1].state == "leaving" and told.servers[-1].server == "t"
-    assert told.servers[:-1] == (() if read is None else (read,))
+    assert server_list.invalid_entries == 1 and server_list.addresses == (("t", "127.0.0.1", 7),)
+    assert server_list.servers[-1].state == "leaving" and server_list.servers[-1].server == "t"
+    assert server_list.servers[:-1] == (() if read is None else (read,))
 
 
 @pytest.mark.parametrize(
-    ("after", "path"), [(None, "/registry/instances"), (41, "/registry/instances?from=41&hold_ms=20000")]
+    ("version", "path"), [(None, "/registry/instances"), (41, "/registry/instances?from=41&hold_ms=20000")]
 )
-def test_a_call_to_discovery(after: int | None, path: str) -> None:
-    assert encode_list_request("127.0.0.1:8500", after, 20.0).startswith(
+def test_a_request_to_discovery(version: int | None, path: str) -> None:
+    assert encode_list_request("127.0.0.1:8500", version, 20.0).startswith(
         f"GET {path} HTTP/1.1\r\nHost: ".encode()
     )
 
 
-def test_nested_settings_become_fields() -> None:
+def test_nested_settings_become_flat_fields() -> None:
     value = {"a": {"b": [1, 2.5], "c": None, "d": True}, "e": [{"f": "x"}, {"f": "y"}], "g": []}
     fields = {"a.b": "1,2.5", "a.c": "null", "a.d": "true", "e.count": "2", "e.0.f": "x", "e.1.f": "y"}
     assert flatten(value) == fields | {"g": ""}
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b'{"settings":{}}'])
-def test_a_bad_start_is_refused(data: bytes) -> None:
+def test_a_bad_start_up_file_is_refused(data: bytes) -> None:
     with pytest.raises(Malformed):
         parse_start_up_file(data)
