--- a/pointgw/__main__.py
+++ b/pointgw/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m pointgw`: without arguments the daemon, told what it needs by the file that $GW_CONFIG names."""
+"""`python -m pointgw`: a command, or without arguments the daemon with the start-up file of $GW_CONFIG."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 
 def main(arguments: Sequence[str] = ()) -> int:
+    """Runs a command, or the daemon; returns the exit status."""
     if arguments:
         from pointgw.command.main import command
 
@@ -25,7 +26,7 @@
 
 
 def entry() -> int:
-    """The console script."""
+    """Entry point of the console script."""
     return main(sys.argv[1:])
 
 
--- a/pointgw/early_signals.py
+++ b/pointgw/early_signals.py
@@ -1,6 +1,6 @@
-"""A SIGHUP that comes before the daemon can take it: it would end the process, or be lost.
+"""Records a SIGHUP that arrives before the daemon can handle it and would end the process or be lost.
 
-Nothing heavy is imported here: it is the first that the program loads.
+Nothing heavy is imported here: this is the first module that the program loads.
 """
 
 from __future__ import annotations
@@ -8,21 +8,21 @@
 import signal
 from types import FrameType
 
-_noted = False
+_received = False
 
 
-def _note(number: int, frame: FrameType | None) -> None:
-    global _noted
-    _noted = True
+def _record(number: int, frame: FrameType | None) -> None:
+    global _received
+    _received = True
 
 
 def install_handler() -> None:
-    """From now on one is remembered, until the loop has a handler of its own for it."""
-    signal.signal(signal.SIGHUP, _note)
+    """Records SIGHUP from now on, until the event loop installs its own handler."""
+    signal.signal(signal.SIGHUP, _record)
 
 
 def pop_sighup() -> bool:
-    """Whether one came since; asked for once, when the handler stands."""
-    global _noted
-    was, _noted = _noted, False
-    return was
+    """Whether a SIGHUP was recorded, which this clears; called once, after the loop has its handler."""
+    global _received
+    received, _received = _received, False
+    return received
--- a/pointgw/simulator_adapter/__init__.py
+++ b/pointgw/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire before the decisions: a codec and a host of instances."""
+"""Adapter from the simulator's line protocol to the policy: a codec and a host of balancers."""
--- a/pointgw/simulator_adapter/codec.py
+++ b/pointgw/simulator_adapter/codec.py
@@ -1,4 +1,4 @@
-"""The bench's wire as text: its lines to fields, its words to ours."""
+"""Codec of the simulator's protocol: lines to fields, and its values to those of `pointgw.interface`."""
 
 from __future__ import annotations
 
@@ -26,22 +26,24 @@
 
 
 def parse_line(line: str) -> tuple[str, Fields]:
-    """A line's word and its fields. A pair without '=' is refused."""
+    """A line's word and its fields. Raises Malformed on a pair without '='."""
     word, *parts = line.split("\t")
     fields: Fields = {}
     for part in parts:
-        name, sign, value = part.partition("=")
-        if not sign or not name:
+        name, separator, value = part.partition("=")
+        if not separator or not name:
             raise Malformed(f"expected name=value, got {part!r}")
         fields[name] = value
     return word, fields
 
 
 def read_report(fields: Fields) -> Report:
+    """The load report of a line; empty if it has none."""
     return parse_load_report(fields.get("telemetry", ""), ":")
 
 
 def read_entry(fields: Fields) -> ServerEntry:
+    """The entry of an `ENTRY` line."""
     return ServerEntry(
         server=read_text(fields, "server"),
         state=cast(Any, read_choice(fields, "availability", STATES)),
@@ -54,6 +56,7 @@
 
 
 def read_payload(fields: Fields, name: str) -> bytes:
+    """Bytes given as hex digits, or as "-" for none."""
     value = read_text(fields, name)
     try:
         return b"" if value == "-" else bytes.fromhex(value)
--- a/pointgw/simulator_adapter/host.py
+++ b/pointgw/simulator_adapter/host.py
@@ -1,6 +1,6 @@
-"""The host of instances: reads batches, turns ids into objects, calls the decisions, writes replies.
+"""Host of the simulated balancers: reads batches, resolves ids, calls the policy, writes replies.
 
-It decides nothing. Instances share nothing but the process and the tables of the batch.
+It decides nothing. Instances share only the process and the server lists of the batch.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from pointgw.site import Fields, Malformed
 
 
-def _format_ms(span: float) -> str:
-    return f"{span * 1e3:.3f}"
+def _format_ms(seconds: float) -> str:
+    return f"{seconds * 1e3:.3f}"
 
 
 class Instance:
-    """One balancer on the wire: its tunnels by id, and the lines it has to write (the `Host`)."""
+    """One simulated balancer: its tunnels by id, and the action lines to write (it is the `Host`)."""
 
     def __init__(self, fields: Fields, now: float) -> None:
         self.lines: list[str] = []
@@ -29,27 +29,27 @@
         seed = site.read_int(fields, "randomSeed")
         self.balancer = Balancer(site.parse_site(fields), self, random.Random(seed), now)
 
-    # What the decisions may ask for.
+    # `pointgw.interface.Host`: what the policy requests.
 
-    def setup(self, tun: Tunnel, ep: Server, patience: float) -> None:
-        self.lines.append(f"ASSIGN\txid={tun.name}\tserver={ep.name}\tpatience={_format_ms(patience)}")
+    def setup(self, tunnel: Tunnel, server: Server, timeout: float) -> None:
+        self.lines.append(f"ASSIGN\txid={tunnel.name}\tserver={server.name}\tpatience={_format_ms(timeout)}")
 
-    def cancel(self, tun: Tunnel, number: int) -> None:
-        self.lines.append(f"CALL_OFF\txid={tun.name}\troundNo={number}")
+    def cancel(self, tunnel: Tunnel, number: int) -> None:
+        self.lines.append(f"CALL_OFF\txid={tunnel.name}\troundNo={number}")
 
-    def decline(self, tun: Tunnel, come_back: float) -> None:
-        self.lines.append(f"SAY_NO\txid={tun.name}\tcoolDown={_format_ms(come_back)}")
-        self.forget_if_finished(tun)
+    def decline(self, tunnel: Tunnel, retry_after: float) -> None:
+        self.lines.append(f"SAY_NO\txid={tunnel.name}\tcoolDown={_format_ms(retry_after)}")
+        self.forget_if_finished(tunnel)
 
-    def close_with_error(self, tun: Tunnel) -> None:
-        self.lines.append(f"DROP_REQUEST\txid={tun.name}")
-        self.forget_if_finished(tun)
+    def close_with_error(self, tunnel: Tunnel) -> None:
+        self.lines.append(f"DROP_REQUEST\txid={tunnel.name}")
+        self.forget_if_finished(tunnel)
 
-    def migrate(self, tun: Tunnel) -> None:
-        self.lines.append(f"REASSIGN\txid={tun.name}")
+    def migrate(self, tunnel: Tunnel) -> None:
+        self.lines.append(f"REASSIGN\txid={tunnel.name}")
 
-    def probe(self, ep: Server) -> None:
-        self.lines.append(f"ASK_LOAD\tserver={ep.name}")
+    def probe(self, server: Server) -> None:
+        self.lines.append(f"ASK_LOAD\tserver={server.name}")
 
     def watch_list(self) -> None:
         self.lines.append("KEEP_INFORMED\ton=1")
@@ -57,7 +57,7 @@
     def set_timer(self, delay: float) -> None:
         self.lines.append(f"TIMER\tspan={_format_ms(delay)}\tcookie=0")
 
-    # What the wire reports.
+    # Events of the simulator.
 
     def update_list(self, form: str, entries: list[ServerEntry], now: float) -> None:
         if form == "failed":
@@ -66,24 +66,27 @@
             self.balancer.update_servers(entries, form != "delta", form == "cached", now)
 
     def find_server(self, fields: Fields) -> Server:
+        """The server that a line names. Raises Malformed if no list has named it."""
         name = site.read_text(fields, "server")
-        ep = self.balancer.servers.get(name)
-        if ep is None:
+        server = self.balancer.servers.get(name)
+        if server is None:
             raise Malformed(f"expected a server that a list has named, got {name!r}")
-        return ep
+        return server
 
     def find_tunnel(self, fields: Fields) -> Tunnel:
+        """The tunnel that a line names. Raises Malformed if there is none."""
         name = site.read_text(fields, "xid")
-        tun = self.tunnels.get(name)
-        if tun is None:
+        tunnel = self.tunnels.get(name)
+        if tunnel is None:
             raise Malformed(f"expected a tunnel that was handed in and is not over, got {name!r}")
-        return tun
+        return tunnel
 
     def new_tunnel(self, fields: Fields, deadline: float) -> Tunnel:
+        """Creates the tunnel that a line describes. Raises Malformed if its id is in use."""
         name = site.read_text(fields, "xid")
         if name in self.tunnels:
             raise Malformed(f"expected a new tunnel, got {name!r} again")
-        tun = self.balancer.new_tunnel(
+        tunnel = self.balancer.new_tunnel(
             name,
             self.read_profile(fields),
             site.read_int(fields, "owner", 0),
@@ -92,64 +95,66 @@
             deadline,
             site.read_flag(fields, "cameBack", False),
         )
-        self.tunnels[name] = tun
-        return tun
+        self.tunnels[name] = tunnel
+        return tunnel
 
-    def forget_if_finished(self, tun: Tunnel) -> None:
-        if tun.is_finished:
-            self.tunnels.pop(tun.name, None)
+    def forget_if_finished(self, tunnel: Tunnel) -> None:
+        if tunnel.is_finished:
+            self.tunnels.pop(tunnel.name, None)
 
     def on_job_in(self, fields: Fields, now: float) -> None:
-        tun = self.new_tunnel(fields, now + site.read_seconds(fields, "expiresIn"))
-        self.balancer.tunnel_arrived(tun, site.read_flag(fields, "stray", False), now)
-        self.forget_if_finished(tun)
+        tunnel = self.new_tunnel(fields, now + site.read_seconds(fields, "expiresIn"))
+        self.balancer.tunnel_arrived(tunnel, site.read_flag(fields, "stray", False), now)
+        self.forget_if_finished(tunnel)
 
     def on_inherited(self, fields: Fields, now: float) -> None:
-        ep = self.find_server(fields)
-        tun = self.new_tunnel(fields, now)
-        self.balancer.tunnel_inherited(tun, ep, now)
+        server = self.find_server(fields)
+        tunnel = self.new_tunnel(fields, now)
+        self.balancer.tunnel_inherited(tunnel, server, now)
 
     def read_profile(self, fields: Fields) -> int:
+        """The index of a tunnel's profile. Raises Malformed if out of range."""
         i = site.read_int(fields, "grade", 0)
         if not 0 <= i < len(self.balancer.profiles):
             raise Malformed(f"expected grade under {len(self.balancer.profiles)}, got {i}")
         return i
 
     def on_under_way(self, fields: Fields, now: float) -> None:
-        tun = self.find_tunnel(fields)
-        self.balancer.setup_opened(tun, self.read_setup_number(tun, fields), now)
+        tunnel = self.find_tunnel(fields)
+        self.balancer.setup_opened(tunnel, self.read_setup_number(tunnel, fields), now)
 
-    def read_setup_number(self, tun: Tunnel, fields: Fields) -> int:
+    def read_setup_number(self, tunnel: Tunnel, fields: Fields) -> int:
+        """The number of a setup of the tunnel. Raises Malformed if out of range."""
         i = site.read_int(fields, "roundNo")
-        if not 0 <= i < len(tun.setups):
+        if not 0 <= i < len(tunnel.setups):
             raise Malformed(f"expected roundNo of a setup that was made, got {i}")
         return i
 
     def on_heartbeat(self, fields: Fields, now: float) -> None:
-        tun, kind = self.find_tunnel(fields), site.read_int(fields, "kind")
+        tunnel, kind = self.find_tunnel(fields), site.read_int(fields, "kind")
         level = site.read_float(fields, "level")
         if kind == 1:
-            self.balancer.record_load(tun, level / 1e6, now)
+            self.balancer.record_load(tunnel, level / 1e6, now)
         elif kind == 2:
-            self.balancer.record_delay(tun, level / 1e3, now)
+            self.balancer.record_delay(tunnel, level / 1e3, now)
 
     def on_reply(self, fields: Fields, now: float) -> None:
-        tun = self.find_tunnel(fields)
+        tunnel = self.find_tunnel(fields)
         self.balancer.setup_ended(
-            tun,
-            self.read_setup_number(tun, fields),
+            tunnel,
+            self.read_setup_number(tunnel, fields),
             site.read_choice(fields, "ending", codec.ENDINGS),
             site.read_flag(fields, "settled", False),
             codec.read_report(fields),
             now,
         )
-        self.forget_if_finished(tun)
+        self.forget_if_finished(tunnel)
 
     def on_left(self, fields: Fields, now: float) -> None:
-        tun = self.tunnels.get(site.read_text(fields, "xid"))
-        if tun is not None:  # it may be over already
-            self.balancer.client_left(tun, now)
-            self.forget_if_finished(tun)
+        tunnel = self.tunnels.get(site.read_text(fields, "xid"))
+        if tunnel is not None:  # it may have ended already
+            self.balancer.client_left(tunnel, now)
+            self.forget_if_finished(tunnel)
 
     def on_probed(self, fields: Fields, now: float) -> None:
         ending = site.read_choice(fields, "ending", codec.ENDINGS)
@@ -160,7 +165,7 @@
         self.balancer.timer_due(now)
 
     def on_datagram(self, fields: Fields, now: float) -> None:
-        """The decisions take nothing from other balancers: telling reports was measured and lost."""
+        """Checked and ignored: sharing load reports between balancers gave worse results than none."""
         site.read_int(fields, "originPeer")
         codec.read_payload(fields, "bytes")
 
@@ -179,20 +184,20 @@
 
 
 class SimulatorAdapter:
-    """Batches of the wire, line by line."""
+    """Processes the simulator's batches line by line."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
         self.touched_instances: dict[int, Instance] = {}
         self.server_lists: dict[int, list[ServerEntry]] = {}
         self.incomplete_list: list[ServerEntry] = []
-        self.missing_entries = 0  # entries of the list being read that are still to come
+        self.missing_entries = 0  # entries still to come of the list being read
         self.current_balancer: int | None = None
         self.turn: int | None = None
         self.now = 0.0
 
     def feed_line(self, line: str) -> str | None:
-        """Takes one line; gives the reply when the line ends a batch."""
+        """Processes one line; returns the reply if it ends a batch. Raises Malformed."""
         word, fields = codec.parse_line(line)
         if self.missing_entries:
             if word != "ENTRY":
@@ -220,6 +225,7 @@
         return None
 
     def handle_event(self, word: str, fields: Fields) -> None:
+        """Processes an event of the current balancer. Raises Malformed."""
         if self.current_balancer is None:
             raise Malformed(f"expected INSTANCE before {word!r}")
         if word == "CONFIGURE":
@@ -247,6 +253,7 @@
             raise Malformed(f"expected an event, got {word!r}")
 
     def finish_turn(self) -> str:
+        """The reply to a batch: the actions of each balancer with events in it."""
         lines: list[str] = []
         for number, instance in self.touched_instances.items():
             if instance.lines:
@@ -260,28 +267,31 @@
 
 
 def serve(source: Iterable[bytes], out: TextIO | IO[str], err: TextIO | IO[str]) -> int:
-    """Serves the wire until the input ends. Bad input ends it with one plain line and status 2."""
-    drill = SimulatorAdapter()
-    for count, raw in enumerate(source, 1):
+    """Serves the simulator until the input ends; returns the exit status.
+
+    Bad input ends it with one line on `err` and status 2, a fault of the policy with status 1.
+    """
+    adapter = SimulatorAdapter()
+    for line_number, raw in enumerate(source, 1):
         line = ""
         try:
             line = raw.decode().rstrip("\r\n")
-            if not line and drill.turn is None:
+            if not line and adapter.turn is None:
                 continue
-            reply = drill.feed_line(line)
-        except (Malformed, UnicodeDecodeError) as fault:
+            reply = adapter.feed_line(line)
+        except (Malformed, UnicodeDecodeError) as error:
             shown = line if len(line) <= 200 else line[:200] + "..."
-            print(f"pointgw.drill: line {count}: {fault}: {shown!r}", file=err, flush=True)
+            print(f"pointgw.drill: line {line_number}: {error}: {shown!r}", file=err, flush=True)
             return 2
-        except Exception as fault:  # a fault of the decisions is told on the wire, not as a traceback
-            at = fault.__traceback__
-            while at is not None and at.tb_next is not None:
-                at = at.tb_next
-            where = f"{at.tb_frame.f_code.co_name}:{at.tb_lineno}" if at else "?"
-            told = f"line {count}: {type(fault).__name__} in {where}: {fault}".replace("\n", " ")
-            print(f"pointgw.drill: {told}", file=err, flush=True)
+        except Exception as error:  # reported to the simulator instead of as a traceback
+            traceback = error.__traceback__
+            while traceback is not None and traceback.tb_next is not None:
+                traceback = traceback.tb_next
+            where = f"{traceback.tb_frame.f_code.co_name}:{traceback.tb_lineno}" if traceback else "?"
+            message = f"line {line_number}: {type(error).__name__} in {where}: {error}".replace("\n", " ")
+            print(f"pointgw.drill: {message}", file=err, flush=True)
             out.write(
-                f"AT\tbalancerId={drill.current_balancer}\nPANIC\tline={told}\nFINISHED\tturn={drill.turn}\n"
+                f"AT\tbalancerId={adapter.current_balancer}\nPANIC\tline={message}\nFINISHED\tturn={adapter.turn}\n"
             )
             out.flush()
             return 1
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,3 +1,5 @@
+"""The simulator adapter: batches of lines in, actions out."""
+
 from __future__ import annotations
 
 import io
@@ -23,13 +25,14 @@
 
 
 def run(lines: list[str]) -> tuple[int, str, str]:
+    """Exit status, output and errors of the adapter for these lines."""
     out, err = io.StringIO(), io.StringIO()
     status = serve(io.BytesIO("\n".join([*lines, ""]).encode()), out, err)
     return status, out.getvalue(), err.getvalue()
 
 
-def test_a_tunnel_is_set_up_and_its_outcome_taken() -> None:
-    # The list is told and not only cached: what became of a server since then is not known, so it is cold.
+def test_a_tunnel_is_set_up_and_its_outcome_accepted() -> None:
+    # A full list, not a cached one, as the servers of a cached list are cold: their present state is unknown.
     start = [line.replace("cached", "full") for line in START]
     lines = [*start, "JOB_IN\tgrade=0\texpiresIn=1800.0\txid=t/a\tnovel=1", "OVER_TO_YOU"]
     lines += ["TURN\tturn=2\ttime=1010.0", "INSTANCE\tbalancerId=3"]
@@ -59,7 +62,7 @@
 @pytest.mark.parametrize(
     "conf", [CONF, "CONFIGURE\trandomSeed=7", "CONFIGURE\trandomSeed=7\tinstances=0\tx=y"]
 )
-def test_missing_settings_reports_and_lists_are_lived_with(conf: str, extra: str) -> None:
+def test_missing_settings_reports_and_lists_are_tolerated(conf: str, extra: str) -> None:
     lines = [
         *START[:2],
         conf,
@@ -76,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    ("setting", "kept"),
+    ("setting", "is_valid"),
     [
         ("rules.drainBindsAlone=true", True),
         ("rules.drainBindsAlone=0", True),
@@ -88,14 +91,14 @@
         ("scoreParts.topNines=inf", False),
     ],
 )
-def test_a_bad_setting_is_refused_with_one_line_that_names_it(setting: str, kept: bool) -> None:
+def test_a_bad_setting_is_refused_with_one_line_that_names_it(setting: str, is_valid: bool) -> None:
     status, _, err = run([*START[:2], f"{CONF}\t{setting}", "OVER_TO_YOU"])
-    assert (status, err.count("\n")) == ((0, 0) if kept else (2, 1))
-    assert kept or setting.split("=")[0] in err
+    assert (status, err.count("\n")) == ((0, 0) if is_valid else (2, 1))
+    assert is_valid or setting.split("=")[0] in err
 
 
 @pytest.mark.parametrize(
-    ("line", "says"),
+    ("line", "expected"),
     [
         ("JOB_IN\txid=t/a\tgrade=0", "expected expiresIn as a number"),
         ("JOB_IN\txid=t/a\tgrade=4\texpiresIn=5", "expected grade under 1"),
@@ -113,7 +116,7 @@
         ("CATALOG\ttable=0\tentries=1\nOVER_TO_YOU", "expected 1 more ENTRY"),
     ],
 )
-def test_bad_input_gets_one_plain_line(line: str, says: str) -> None:
+def test_bad_input_gets_one_error_line(line: str, expected: str) -> None:
     status, _, err = run([*START, *line.split("\n"), "OVER_TO_YOU"])
     assert status == 2
-    assert err.startswith("pointgw.drill: line ") and says in err and err.count("\n") == 1
+    assert err.startswith("pointgw.drill: line ") and expected in err and err.count("\n") == 1
