--- a/pointgw/net/core/reducer.py
+++ b/pointgw/net/core/reducer.py
@@ -516,7 +516,7 @@
     # For the log.
 
     def figures(self) -> dict[str, object]:
-        """Counts for the log's state line."""
+        """Values of the log's state line."""
         states = [client.tunnel.state for client in self.clients.values()]
         active = self.balancer.active_servers
         declined = {f"declined_{reason}": count for reason, count in self.balancer.declined.items()}
