--- a/pointgw/policy.py
+++ b/pointgw/policy.py
@@ -146,9 +146,9 @@
         "was_opened",
     )
 
-    def __init__(self, ep: Server, now: float) -> None:
-        self.server, self.sent_at, self.in_progress, self.may_have_run = ep, now, True, True
-        self.server_started_at = ep.started_at  # of the process that it was chosen for
+    def __init__(self, server: Server, now: float) -> None:
+        self.server, self.sent_at, self.in_progress, self.may_have_run = server, now, True, True
+        self.server_started_at = server.started_at  # of the process that it was chosen for
         self.was_opened = self.erred = False  # the tunnel was opened by it; it ended in an error
 
 
@@ -177,15 +177,15 @@
         """The one place where a tunnel changes state."""
         if state not in ALLOWED_TRANSITIONS[self.state]:
             raise ValueError(f"tunnel {self.name}: {self.state.value} cannot become {state.value}")
-        ep = self.setups[-1].server if self.setups else None
-        if ep is not None and state is State.OPEN:
-            ep.tunnels[self] = None
-            ep.tunnels_by_group[self.group] = ep.tunnels_by_group.get(self.group, 0) + 1
-        elif ep is not None and self.state is State.OPEN:
-            del ep.tunnels[self]
-            ep.tunnels_by_group[self.group] -= 1
-            if not ep.tunnels_by_group[self.group]:
-                del ep.tunnels_by_group[self.group]
+        server = self.setups[-1].server if self.setups else None
+        if server is not None and state is State.OPEN:
+            server.tunnels[self] = None
+            server.tunnels_by_group[self.group] = server.tunnels_by_group.get(self.group, 0) + 1
+        elif server is not None and self.state is State.OPEN:
+            del server.tunnels[self]
+            server.tunnels_by_group[self.group] -= 1
+            if not server.tunnels_by_group[self.group]:
+                del server.tunnels_by_group[self.group]
         self.state = state
 
 
@@ -363,42 +363,46 @@
         if not cached:
             self.is_watching_list, self.list_retry_delay = True, self.list_poll_interval / 8
         changed = False  # who is active; other news, such as weights, come every second
-        for ep in self.servers.values() if whole else ():
-            ep.listed = False
-        for line in entries:
-            ep = self.servers.get(line.server) or Server(line.server)
-            self.servers[line.server] = ep
-            ep.cell, ep.zone, ep.relative_size = (
-                line.cell,
-                line.zone,
-                line.weight if self.sizes_listed else 1.0,
+        for server in self.servers.values() if whole else ():
+            server.listed = False
+        for entry in entries:
+            server = self.servers.get(entry.server) or Server(entry.server)
+            self.servers[entry.server] = server
+            server.cell, server.zone, server.relative_size = (
+                entry.cell,
+                entry.zone,
+                entry.weight if self.sizes_listed else 1.0,
             )
-            if line.started_at != ep.started_at:
-                if ep.started_at or ep.listed:
-                    self._mark_process_missing(ep, line.started_at)
-                ep.started_at, ep.probe_due = line.started_at, now
-                self._record_process_start(ep, line.started_at, now, True)
-            if cached and ep.warm_at <= now:
-                self._mark_unconfirmed(ep, now)
+            if entry.started_at != server.started_at:
+                if server.started_at or server.listed:
+                    self._mark_process_missing(server, entry.started_at)
+                server.started_at, server.probe_due = entry.started_at, now
+                self._record_process_start(server, entry.started_at, now, True)
+            if cached and server.warm_at <= now:
+                self._mark_unconfirmed(server, now)
                 if not self.list_is_polled:  # pushed: it is current as long as no change comes
-                    self.confirm_process(ep)
-            elif not cached and line.state != "left":
-                self._clear_stale(ep, now)
-            was, ep.listed = ep.active, line.state != "left"
-            ep.active = line.state == "active" or (was and self._stays_active(ep))
-            changed |= ep.active != was
-        for ep in self.servers.values() if not cached else ():  # and what it does not name is as it was
-            self.confirm_process(ep, True)
-        for ep in [e for e in self.servers.values() if whole and e.active and not e.listed]:
-            ep.active = self._stays_active(ep)
-            changed |= not ep.active
+                    self.confirm_process(server)
+            elif not cached and entry.state != "left":
+                self._clear_stale(server, now)
+            was, server.listed = server.active, entry.state != "left"
+            server.active = entry.state == "active" or (was and self._stays_active(server))
+            changed |= server.active != was
+        for server in self.servers.values() if not cached else ():  # and what it does not name is as it was
+            self.confirm_process(server, True)
+        for server in [
+            server for server in self.servers.values() if whole and server.active and not server.listed
+        ]:
+            server.active = self._stays_active(server)
+            changed |= not server.active
         if changed:
-            active = [ep for ep in self.servers.values() if ep.active]
+            active = [server for server in self.servers.values() if server.active]
             self.active_servers, self.server_subset = (
-                sorted(active, key=lambda ep: (ep.name_hash, ep.name)),
+                sorted(active, key=lambda server: (server.name_hash, server.name)),
                 None,
             )
-            self.mean_relative_size = sum(ep.relative_size for ep in active) / max(1, len(active)) or 1.0
+            self.mean_relative_size = (
+                sum(server.relative_size for server in active) / max(1, len(active)) or 1.0
+            )
         if not self.arrival_rate:
             self.arrival_rate = INITIAL_ARRIVAL_RATE * max(1, len(self.active_servers)) / self.balancer_count
             self.load_per_tunnel = (
@@ -412,42 +416,42 @@
             self._request_list(now)
         self._serve_queue(now)
 
-    def _mark_unconfirmed(self, ep: Server, now: float) -> None:
+    def _mark_unconfirmed(self, server: Server, now: float) -> None:
         """Rule 4 after an own start: what became of it since is not known, so it is cold from now."""
-        self._record_process_start(ep, now, now)
-        ep.unconfirmed = ep.start_inferred = True
+        self._record_process_start(server, now, now)
+        server.unconfirmed = server.start_inferred = True
 
     @staticmethod
-    def confirm_process(ep: Server, told: bool = False) -> None:
+    def confirm_process(server: Server, told: bool = False) -> None:
         """It is the process known before this balancer started, as it is told now, or by a memory of this run
         of the machine, which many that have no process gainsay."""
-        if ep.unconfirmed:
-            ep.unconfirmed, ep.start_inferred, ep.previous_warm_at = not told, False, 0.0
-            ep.warm_at = ep.warm_at if ep.process_missing else 0.0
+        if server.unconfirmed:
+            server.unconfirmed, server.start_inferred, server.previous_warm_at = not told, False, 0.0
+            server.warm_at = server.warm_at if server.process_missing else 0.0
 
-    def _record_process_start(self, ep: Server, at: float, now: float, told: bool = False) -> None:
+    def _record_process_start(self, server: Server, at: float, now: float, told: bool = False) -> None:
         """A process that started then, cold unless that is long ago; `told` by the list, so alike to all."""
-        ep.reset()
-        ep.unconfirmed, ep.warm_at = False, at + self.warm_up_window if at else 0.0
+        server.reset()
+        server.unconfirmed, server.warm_at = False, at + self.warm_up_window if at else 0.0
         # The balancers must not all spend a first tunnel at the same moment.
-        ep.slow_start_budget, ep.budget_updated_at = self.uniform(0.0, 1.0), now
-        ep.start_listed = told and at > 0.0
-        ep.is_staggered = ep.start_listed and self.balancer_index >= 0
+        server.slow_start_budget, server.budget_updated_at = self.uniform(0.0, 1.0), now
+        server.start_listed = told and at > 0.0
+        server.is_staggered = server.start_listed and self.balancer_index >= 0
         if (
-            ep.is_staggered
+            server.is_staggered
         ):  # by the own number and the server's age: alike whenever this balancer itself started
-            ep.slow_start_budget, ep.budget_updated_at = (
-                (self.balancer_index * GOLDEN_RATIO_CONJUGATE + ep.name_hash / MAX_HASH) % 1.0,
+            server.slow_start_budget, server.budget_updated_at = (
+                (self.balancer_index * GOLDEN_RATIO_CONJUGATE + server.name_hash / MAX_HASH) % 1.0,
                 at,
             )
-        self._record_recovery(ep, at)
-        self._update_load_estimate(ep)
+        self._record_recovery(server, at)
+        self._update_load_estimate(server)
 
-    def _stays_active(self, ep: Server) -> bool:
+    def _stays_active(self, server: Server) -> bool:
         """Whether a server in use that the list no longer has stays so: the list may be wrong about it."""
-        stays = self.only_draining_excludes and not ep.listed
+        stays = self.only_draining_excludes and not server.listed
         if stays:
-            self.mark_stale(ep)
+            self.mark_stale(server)
         return stays
 
     def list_request_failed(self, now: float) -> None:
@@ -462,68 +466,77 @@
         self.list_request_due = now + self.list_poll_interval * self.uniform(0.6, 0.9)
 
     @staticmethod
-    def mark_stale(ep: Server) -> None:
+    def mark_stale(server: Server) -> None:
         """Remembered, but for so long that it may be gone: suspended until heard of or listed. Guards tunnels
         from an old memory; where nothing else is ready it takes one at a time."""
-        ep.stale, ep.ejected_until = True, inf
+        server.stale, server.ejected_until = True, inf
 
     @staticmethod
-    def _clear_stale(ep: Server, now: float) -> None:
-        if ep.stale:
-            ep.stale, ep.ejected_until = False, now
+    def _clear_stale(server: Server, now: float) -> None:
+        if server.stale:
+            server.stale, server.ejected_until = False, now
 
     # Readiness.
-    def _select_ready(self, tun: Tunnel, eps: list[Server], now: float) -> list[Server]:
+    def _select_ready(self, tunnel: Tunnel, servers: list[Server], now: float) -> list[Server]:
         """Not suspended, with room, within the budget of a cold one, or asked first if it had no process."""
-        at_all = [ep for ep in eps if max(ep.ejected_until, ep.unstable_until) <= now]
+        at_all = [server for server in servers if max(server.ejected_until, server.unstable_until) <= now]
         return [
-            ep for ep in self._select_with_capacity(tun, at_all, now) if self._may_receive_tunnel(ep, now)
+            server
+            for server in self._select_with_capacity(tunnel, at_all, now)
+            if self._may_receive_tunnel(server, now)
         ]
 
-    def _select_with_capacity(self, tun: Tunnel, eps: list[Server], now: float) -> list[Server]:
+    def _select_with_capacity(self, tunnel: Tunnel, servers: list[Server], now: float) -> list[Server]:
         # One not heard from since this refuses nobody: it is asked again before an offer.
         again, top = (
             now - MAX_REPORT_AGE_FOR_REFUSAL * self.attempt_timeout if self._can_afford_probe() else -inf,
             self.load_limit,
         )
-        grouped = self.is_fleet_renewing and tun.group
+        grouped = self.is_fleet_renewing and tunnel.group
         if self.connection_limit < inf:
-            bound = {e: self.connection_limit * self._available_capacity(e, now) for e in eps}
-            eps = [e for e in eps if e.answered_at < again or self._estimated_busy(e, 0.0) < bound[e]]
+            bound = {
+                server: self.connection_limit * self._available_capacity(server, now) for server in servers
+            }
+            servers = [
+                server
+                for server in servers
+                if server.answered_at < again or self._estimated_busy(server, 0.0) < bound[server]
+            ]
         return [
-            e
-            for e in eps
-            if e.answered_at < again
-            or e.estimated_load < (self._group_load_limit(tun, e) if grouped else top)
+            server
+            for server in servers
+            if server.answered_at < again
+            or server.estimated_load < (self._group_load_limit(tunnel, server) if grouped else top)
         ]
 
-    def _group_load_limit(self, tun: Tunnel, ep: Server) -> float:
+    def _group_load_limit(self, tunnel: Tunnel, server: Server) -> float:
         """The load up to which it takes a group's tunnel while the fleet is renewed: what moves leave it at
         its home, less for each place away. Guards groups from being scattered: where all old servers are
         full, the few with room get a tunnel of each. It hurts who waits while room is far from home."""
         away = (
             0.0
-            if tun.group in ep.tunnels_by_group
-            else self._affinity_distance(tun, ep) * len(self.active_servers) / MAX_HASH - PREFERRED_SERVERS
+            if tunnel.group in server.tunnels_by_group
+            else self._affinity_distance(tunnel, server) * len(self.active_servers) / MAX_HASH
+            - PREFERRED_SERVERS
         )
         return MAX_MIGRATION_TARGET - AFFINITY_DISTANCE_PENALTY * max(0.0, away)
 
-    def _update_load_estimate(self, ep: Server) -> None:
+    def _update_load_estimate(self, server: Server) -> None:
         """The load that tells whether a server has room: the reported one, with what all balancers are likely
         to have added since. It has room under FULL. Guards against balancers that fill a server between two
         reports, and overload, where a server drops what it holds, which comes again at once. What ended or is
         moved off makes no room before a report shows it: its group may stay, the server stay full."""
-        load = self.mean_load if ep.reported_busy is None else ep.reported_load
-        if ep.reported_busy is None and ep.start_listed and ep.warm_at > self.last_pass_at:
+        load = self.mean_load if server.reported_busy is None else server.reported_load
+        if server.reported_busy is None and server.start_listed and server.warm_at > self.last_pass_at:
             load = 0.0  # new, and its budget guards it: the mean would shut it where the others are full
-        ep.estimated_load = (
-            -inf if load is None else load + self._unreported_load(ep) + ep.assumed_peer_load
+        server.estimated_load = (
+            -inf if load is None else load + self._unreported_load(server) + server.assumed_peer_load
         )  # no report: all have room
 
-    def _unreported_load(self, ep: Server) -> float:
+    def _unreported_load(self, server: Server) -> float:
         """Load that all balancers are likely to have added since, each as this one did."""
-        return len(ep.unreported_placements) * (
-            min(self.load_per_tunnel, ep.max_load_per_tunnel) * self.balancer_count
+        return len(server.unreported_placements) * (
+            min(self.load_per_tunnel, server.max_load_per_tunnel) * self.balancer_count
         )
 
     def _max_peer_load(self, now: float) -> float:
@@ -536,7 +549,7 @@
         if not self.is_fleet_renewing:
             return min(MAX_UNREPORTED_LOAD, len(self.queue) * each)
         theirs = (
-            sum(tun.state is State.QUEUED for tun in self.queue)
+            sum(tunnel.state is State.QUEUED for tunnel in self.queue)
             + self.recent_arrival_rate * PLACEMENT_REPORT_DELAY * self.attempt_timeout
         )
         return min(self.load_limit, theirs * each)
@@ -544,101 +557,114 @@
     def _load_per_peer_placement(self, now: float) -> float:
         """Load that a server with room gets if each of the others places one tunnel."""
         where = sum(
-            ep.estimated_load < self.load_limit and ep.ejected_until <= now for ep in self.active_servers
+            server.estimated_load < self.load_limit and server.ejected_until <= now
+            for server in self.active_servers
         )
         return (self.balancer_count - 1) * self.load_per_tunnel / max(1, where)
 
     @staticmethod
-    def _update_max_load_per_tunnel(ep: Server, now: float, cut: float) -> None:
+    def _update_max_load_per_tunnel(server: Server, now: float, cut: float) -> None:
         """What one tunnel adds here at most: its report has all in it that it opened before `cut`. Guards
         large, idle servers from being held full. Only room looks at it, not rule 4, as many end."""
-        seen = sum(at <= cut for at in ep.unreported_openings)
+        seen = sum(at <= cut for at in server.unreported_openings)
         if seen >= MIN_OBSERVED_TUNNELS:
-            ep.max_load_per_tunnel, ep.max_load_per_tunnel_at = (
-                max(LOAD_ESTIMATE_MARGIN * ep.reported_load / seen, MIN_LOAD_PER_TUNNEL),
+            server.max_load_per_tunnel, server.max_load_per_tunnel_at = (
+                max(LOAD_ESTIMATE_MARGIN * server.reported_load / seen, MIN_LOAD_PER_TUNNEL),
                 now,
             )
-        elif now - ep.max_load_per_tunnel_at > HISTORY_SECONDS:
-            ep.max_load_per_tunnel = inf
-        ep.unreported_openings = deque(
-            (at for at in ep.unreported_openings if at > cut), MAX_OBSERVED_TUNNELS
+        elif now - server.max_load_per_tunnel_at > HISTORY_SECONDS:
+            server.max_load_per_tunnel = inf
+        server.unreported_openings = deque(
+            (at for at in server.unreported_openings if at > cut), MAX_OBSERVED_TUNNELS
+        )
+        server.estimate_due = (
+            inf if len(server.unreported_openings) < MIN_OBSERVED_TUNNELS else server.estimate_due
         )
-        ep.estimate_due = inf if len(ep.unreported_openings) < MIN_OBSERVED_TUNNELS else ep.estimate_due
 
-    def _may_receive_tunnel(self, ep: Server, now: float) -> bool:
+    def _may_receive_tunnel(self, server: Server, now: float) -> bool:
         return (
-            ep.warm_at <= now
-            or (ep.process_missing and self._can_afford_probe())
-            or self._has_slow_start_budget(ep, now)
+            server.warm_at <= now
+            or (server.process_missing and self._can_afford_probe())
+            or self._has_slow_start_budget(server, now)
         )
 
-    def _has_slow_start_budget(self, ep: Server, now: float) -> bool:
+    def _has_slow_start_budget(self, server: Server, now: float) -> bool:
         """Rule 4: a cold server is ready while this balancer's share of its budget holds a tunnel. One that
         takes long to hold a whole tunnel lapses once it has held one for part of the tip span. Guards against
         many balancers that have all kept a tunnel and send it at the same moment."""
-        if ep.warm_at <= now:
+        if server.warm_at <= now:
             return True
-        if ep.is_staggered and not self.slow_start_rate:  # not reckoned yet since the own start
+        if server.is_staggered and not self.slow_start_rate:  # not reckoned yet since the own start
             return False
-        gain = self.slow_start_rate * min(ep.relative_size / self.mean_relative_size, MAX_RELATIVE_SIZE)
+        gain = self.slow_start_rate * min(server.relative_size / self.mean_relative_size, MAX_RELATIVE_SIZE)
         gain *= (
-            INFERRED_START_FACTOR if ep.start_inferred and self.tunnel_quota else 1.0
+            INFERRED_START_FACTOR if server.start_inferred and self.tunnel_quota else 1.0
         )  # not told, a tunnel is taken at its most
         # In turn, no chance is in how many hold a tunnel's worth at one moment: all of the budget is spent,
         # and half of what the limit leaves to chance may be kept. The other half is for heavier tunnels.
-        in_turn = ep.is_staggered and self.budget_share == 1.0
+        in_turn = server.is_staggered and self.budget_share == 1.0
         gain /= SLOW_START_SAFETY_FACTOR if in_turn else 1.0
-        before, share = self._available_capacity(ep, ep.budget_updated_at), self._available_capacity(ep, now)
-        ep.slow_start_budget, ep.budget_updated_at = (
-            ep.slow_start_budget + gain * (before + share) / 2 * (now - ep.budget_updated_at),
+        before, share = (
+            self._available_capacity(server, server.budget_updated_at),
+            self._available_capacity(server, now),
+        )
+        server.slow_start_budget, server.budget_updated_at = (
+            server.slow_start_budget + gain * (before + share) / 2 * (now - server.budget_updated_at),
             now,
         )
         if (
-            ep.is_staggered and not ep.budget_initialised
+            server.is_staggered and not server.budget_initialised
         ):  # what fell due before may have been spent before an own restart
-            ep.slow_start_budget, ep.budget_initialised = ep.slow_start_budget % 1.0, True
+            server.slow_start_budget, server.budget_initialised = server.slow_start_budget % 1.0, True
         gain *= share
         all_may = gain * self.balancer_count * self.overload_window
         spans = max(all_may, MIN_LOAD_PER_TUNNEL) ** -0.5 if in_turn else SLOW_START_CARRY_OVER
         kept = gain * self.overload_window * spans
         if kept >= 1.0:
-            ep.slow_start_budget = min(ep.slow_start_budget, kept)
-        elif ep.slow_start_budget > 1.0 + kept:
-            ep.slow_start_budget = kept + (ep.slow_start_budget - kept) % 1.0
-        return ep.slow_start_budget >= 1.0
+            server.slow_start_budget = min(server.slow_start_budget, kept)
+        elif server.slow_start_budget > 1.0 + kept:
+            server.slow_start_budget = kept + (server.slow_start_budget - kept) % 1.0
+        return server.slow_start_budget >= 1.0
 
-    def _available_capacity(self, ep: Server, at: float) -> float:
+    def _available_capacity(self, server: Server, at: float) -> float:
         """Of its capacity, what a server surely has then."""
-        age = at - (ep.warm_at - self.warm_up_window)
+        age = at - (server.warm_at - self.warm_up_window)
         return min(
             1.0, self.slow_start_share + (1 - self.slow_start_share) * max(0.0, age) / self.warm_up_window
         )
 
-    def _select_candidates(self, tun: Tunnel, now: float) -> list[Server]:
+    def _select_candidates(self, tunnel: Tunnel, now: float) -> list[Server]:
         """The ready servers that this tunnel may go to."""
         if self._is_paused(now):
             return []
         pool = self.server_subset or self.active_servers
         able = (
-            pool if self._is_freely_retryable(tun) else [ep for ep in pool if self._is_eligible(tun, ep, now)]
+            pool
+            if self._is_freely_retryable(tunnel)
+            else [server for server in pool if self._is_eligible(tunnel, server, now)]
         )
-        ready = self._select_ready(tun, able, now)
-        if self._requires_affinity(tun, now):
-            ready = self._select_by_affinity(tun, ready)
-        if tun.setups:
-            ready = [ep for ep in ready if all(s.server is not ep for s in tun.setups)] or ready
+        ready = self._select_ready(tunnel, able, now)
+        if self._requires_affinity(tunnel, now):
+            ready = self._select_by_affinity(tunnel, ready)
+        if tunnel.setups:
+            ready = [
+                server for server in ready if all(s.server is not server for s in tunnel.setups)
+            ] or ready
         if not ready and pool is not self.active_servers:
             self.server_subset = None  # the others serve until the next round
-            return self._select_candidates(tun, now)
+            return self._select_candidates(tunnel, now)
         # Guards against being left without servers, and a storm: one setup out, none for a time after.
         if not ready:
             due = [
-                e
-                for e in able
-                if max(e.ejected_until, e.unstable_until) > now >= e.trial_due and not e.pending_setups
+                server
+                for server in able
+                if max(server.ejected_until, server.unstable_until) > now >= server.trial_due
+                and not server.pending_setups
             ]
             ready = [
-                ep for ep in self._select_with_capacity(tun, due, now) if self._may_receive_tunnel(ep, now)
+                server
+                for server in self._select_with_capacity(tunnel, due, now)
+                if self._may_receive_tunnel(server, now)
             ]
         return ready
 
@@ -653,56 +679,60 @@
         )
 
     @staticmethod
-    def _is_freely_retryable(tun: Tunnel) -> bool:
+    def _is_freely_retryable(tunnel: Tunnel) -> bool:
         """Rule 2: another setup has no second effect, wherever it goes."""
-        return tun.profile.semantics == "repeatable" or not any(s.may_have_run for s in tun.setups)
+        return tunnel.profile.semantics == "repeatable" or not any(s.may_have_run for s in tunnel.setups)
 
     @staticmethod
-    def _is_eligible(tun: Tunnel, ep: Server, now: float) -> bool:
+    def _is_eligible(tunnel: Tunnel, server: Server, now: float) -> bool:
         """Rule 2: where another setup has no second effect."""
-        if Balancer._is_freely_retryable(tun):
+        if Balancer._is_freely_retryable(tunnel):
             return True
-        if tun.profile.semantics == "once-only":
+        if tunnel.profile.semantics == "once-only":
             return False
-        first, group = next(s for s in tun.setups if s.may_have_run), tun.profile.dedup_scope
+        first, group = next(s for s in tunnel.setups if s.may_have_run), tunnel.profile.dedup_scope
         same = group == "all" or (
-            first.server.zone == ep.zone if group == "zone" else first.server.cell == ep.cell
+            first.server.zone == server.zone if group == "zone" else first.server.cell == server.cell
         )
-        return same and now < first.sent_at + tun.profile.dedup_window
+        return same and now < first.sent_at + tunnel.profile.dedup_window
 
     @staticmethod
-    def may_decline(tun: Tunnel) -> bool:
+    def may_decline(tunnel: Tunnel) -> bool:
         """Rule 2: a decline says that another try is harmless."""
-        return Balancer._is_freely_retryable(tun) or (
-            tun.profile.semantics == "referenced" and tun.profile.dedup_scope == "all"
+        return Balancer._is_freely_retryable(tunnel) or (
+            tunnel.profile.semantics == "referenced" and tunnel.profile.dedup_scope == "all"
         )
 
     # The ordinary path.
-    def _estimated_busy(self, ep: Server, mean: float) -> float:
-        return (mean if ep.reported_busy is None else ep.reported_busy) + len(
-            ep.unreported_placements
+    def _estimated_busy(self, server: Server, mean: float) -> float:
+        return (mean if server.reported_busy is None else server.reported_busy) + len(
+            server.unreported_placements
         ) * self.busy_per_tunnel
 
     def _servers_with_reports(self) -> list[Server]:
-        return [ep for ep in self.active_servers if ep.reported_busy is not None]
+        return [server for server in self.active_servers if server.reported_busy is not None]
 
-    def _draw_candidates(self, tun: Tunnel, ready: list[Server]) -> list[Server]:
+    def _draw_candidates(self, tunnel: Tunnel, ready: list[Server]) -> list[Server]:
         """Two different ready servers at random: of those that hold the tunnel's group, first those in the
         own zone; else of the group's home or the own zone. A server pays once a group; crossings cost."""
         if len(ready) < 2:
             return ready
-        held = [ep for ep in ready if tun.group in ep.tunnels_by_group] if tun.group else []
+        held = [server for server in ready if tunnel.group in server.tunnels_by_group] if tunnel.group else []
         near = [
-            ep for ep in held or ready if ep.zone == (self.zone if tun.planned_zone < 0 else tun.planned_zone)
+            server
+            for server in held or ready
+            if server.zone == (self.zone if tunnel.planned_zone < 0 else tunnel.planned_zone)
         ]
-        last = self._preferred_servers(tun, ready) if tun.group and self._concentrates_groups() else near
+        last = (
+            self._preferred_servers(tunnel, ready) if tunnel.group and self._concentrates_groups() else near
+        )
         pools = [near, held, last] if held else [last]
         first = self._pick_server(ready, pools, None)
         return [first, self._pick_server(ready, pools, first)]
 
     def _pick_server(self, ready: list[Server], pools: list[list[Server]], but: Server | None) -> Server:
-        left = ([ep for ep in pool if ep is not but] for pool in (*pools, ready))
-        return self.choice(next(eps for eps in left if eps))
+        left = ([server for server in pool if server is not but] for pool in (*pools, ready))
+        return self.choice(next(servers for servers in left if servers))
 
     def _concentrates_groups(self) -> bool:
         """Whether groups are gathered, not kept in the zone: where the fleet is crowded, or own tunnels
@@ -712,110 +742,119 @@
             or (self.mean_load or 0.0) * LOAD_LIMIT_OVER_MEAN > MIN_LOAD_LIMIT
         )
 
-    def _requires_affinity(self, tun: Tunnel, now: float) -> bool:
+    def _requires_affinity(self, tunnel: Tunnel, now: float) -> bool:
         return (
-            bool(tun.group)
+            bool(tunnel.group)
             and now < self.no_room_until
             and self._concentrates_groups()
             and not self.is_fleet_renewing
         )
 
-    def _select_by_affinity(self, tun: Tunnel, ready: list[Server]) -> list[Server]:
+    def _select_by_affinity(self, tunnel: Tunnel, ready: list[Server]) -> list[Server]:
         """Where room is scarce, the ready servers that hold the group, and others the nearer to its home the
         fuller they are. Guards a fleet that fills again after a mass break: a server with a little room would
         pay for nearly as many groups as tunnels. It hurts one that waits while room is far from home."""
         far, home, group = (
             AFFINITY_DISTANCE_PENALTY * len(self.active_servers) / MAX_HASH,
             AFFINITY_DISTANCE_PENALTY * PREFERRED_SERVERS,
-            tun.group,
+            tunnel.group,
         )
-        fuller = {ep: ep.estimated_load + max(home, far * self._affinity_distance(tun, ep)) for ep in ready}
-        return [ep for ep in ready if group in ep.tunnels_by_group or fuller[ep] < self.load_limit + home]
+        fuller = {
+            server: server.estimated_load + max(home, far * self._affinity_distance(tunnel, server))
+            for server in ready
+        }
+        return [
+            server
+            for server in ready
+            if group in server.tunnels_by_group or fuller[server] < self.load_limit + home
+        ]
 
     @staticmethod
-    def _preferred_servers(tun: Tunnel, ready: list[Server]) -> list[Server]:
+    def _preferred_servers(tunnel: Tunnel, ready: list[Server]) -> list[Server]:
         """The first ready servers in an order of the group's own, the same at all balancers, though none sees
         the others' tunnels; it goes on to the next ones as these fill."""
-        return nsmallest(PREFERRED_SERVERS, ready, key=lambda ep: Balancer._affinity_distance(tun, ep))
+        return nsmallest(
+            PREFERRED_SERVERS, ready, key=lambda server: Balancer._affinity_distance(tunnel, server)
+        )
 
     @staticmethod
-    def _affinity_distance(tun: Tunnel, ep: Server) -> int:
-        return (tun.group_hash ^ ep.name_hash) * HASH_MULTIPLIER & MAX_HASH
+    def _affinity_distance(tunnel: Tunnel, server: Server) -> int:
+        return (tunnel.group_hash ^ server.name_hash) * HASH_MULTIPLIER & MAX_HASH
 
-    def _offer(self, tun: Tunnel, now: float) -> None:
+    def _offer(self, tunnel: Tunnel, now: float) -> None:
         """SRLB: the first candidate takes the tunnel if it is busy under c, else the second must. One whose
         report is old is asked first; one that has no room then is drawn anew."""
-        first, mean = tun.candidates[0], self.mean_busy
+        first, mean = tunnel.candidates[0], self.mean_busy
         taken = False
         # Rule 1: a tunnel that waits for an answer is looked at again before its time is out.
-        late = now + 2 * self.timer_interval >= tun.deadline
-        for ep in tun.candidates:
-            age = now - ep.reported_at
+        late = now + 2 * self.timer_interval >= tunnel.deadline
+        for server in tunnel.candidates:
+            age = now - server.reported_at
             grown = (
                 age > self.attempt_timeout
-                and ep.estimated_load + self.peer_load_rate * age >= self.load_limit
+                and server.estimated_load + self.peer_load_rate * age >= self.load_limit
             )
             old = (
-                ep.process_missing
-                or now - ep.answered_at > MAX_REPORT_AGE_FOR_OFFER * self.attempt_timeout
+                server.process_missing
+                or now - server.answered_at > MAX_REPORT_AGE_FOR_OFFER * self.attempt_timeout
                 or grown
-                or self._may_have_restarted(ep, now)
+                or self._may_have_restarted(server, now)
             )
-            if not late and old and (ep.probing or self._can_afford_probe()):
-                self._request_load(ep)
-                ep.tunnels_awaiting_probe.append(tun)
-                tun.transition_to(State.PROBING)
-                self._enqueue(tun, now)
+            if not late and old and (server.probing or self._can_afford_probe()):
+                self._request_load(server)
+                server.tunnels_awaiting_probe.append(tunnel)
+                tunnel.transition_to(State.PROBING)
+                self._enqueue(tunnel, now)
                 return
-            self.peak_busy = max(self.peak_busy, self._estimated_busy(ep, mean))
-            taken = ep is first and self._estimated_busy(ep, mean) < self.c
+            self.peak_busy = max(self.peak_busy, self._estimated_busy(server, mean))
+            taken = server is first and self._estimated_busy(server, mean) < self.c
             if taken:
                 break
-        if len(tun.candidates) > 1:
+        if len(tunnel.candidates) > 1:
             self.offers, self.accepted_offers = self.offers + 1, self.accepted_offers + taken
-        chosen = first if taken else tun.candidates[-1]
+        chosen = first if taken else tunnel.candidates[-1]
         if not self._has_slow_start_budget(
             chosen, now
         ):  # it could not be asked, or its budget went meanwhile
-            self._queue_or_answer(tun, now)
+            self._queue_or_answer(tunnel, now)
             return
         if self.offers >= WINDOW_OFFERS:
             self._adapt_threshold(now)
-        self._send_setup(tun, chosen, now)
+        self._send_setup(tunnel, chosen, now)
 
     def _earn_probe_credit(self, spend: float) -> None:
         """Probes are paid from the credit of own tunnels; two rounds and what open ones pay are kept: guards
         against many balancers that each probe at a pace which none pays for."""
         top = 2 * max(RESERVED_PROBES, len(self.active_servers)) * self.probe_price
         top += PERIODIC_PROBE_SHARE * sum(
-            max(0, len(ep.tunnels) - FEW_OWN_TUNNELS) for ep in self.active_servers
+            max(0, len(server.tunnels) - FEW_OWN_TUNNELS) for server in self.active_servers
         )
         self.probe_credit = min(self.probe_credit + spend, top)
 
     def _can_afford_probe(self, kept: int = 0) -> bool:
         return self.may_probe and self.probe_credit >= (1 + kept) * self.probe_price
 
-    def _request_load(self, ep: Server) -> None:
-        if not ep.probing:
+    def _request_load(self, server: Server) -> None:
+        if not server.probing:
             self.probe_credit -= self.probe_price
-            ep.probing = True
-            self.host.probe(ep)
-
-    def _resume_after_probe(self, ep: Server, now: float) -> None:
-        waiting, ep.tunnels_awaiting_probe = ep.tunnels_awaiting_probe, []
-        for tun in [waits for waits in waiting if waits.state is State.PROBING]:
-            tun.transition_to(State.QUEUED)
-            if len(self._select_ready(tun, [e for e in tun.candidates if e.active], now)) == len(
-                tun.candidates
-            ):
-                self._offer(tun, now)
+            server.probing = True
+            self.host.probe(server)
+
+    def _resume_after_probe(self, server: Server, now: float) -> None:
+        waiting, server.tunnels_awaiting_probe = server.tunnels_awaiting_probe, []
+        for tunnel in [waits for waits in waiting if waits.state is State.PROBING]:
+            tunnel.transition_to(State.QUEUED)
+            if len(
+                self._select_ready(tunnel, [server for server in tunnel.candidates if server.active], now)
+            ) == len(tunnel.candidates):
+                self._offer(tunnel, now)
             else:
-                self._place(tun, now)
+                self._place(tunnel, now)
 
     def _initialise_threshold(self) -> None:
         """c starts anew at the median of the first figures heard, half acceptance already: guards against one
         that stays far from the figures all day, where each offer is plain chance."""
-        heard = sorted(ep.reported_busy or 0.0 for ep in self._servers_with_reports())
+        heard = sorted(server.reported_busy or 0.0 for server in self._servers_with_reports())
         if 2 * len(heard) > len(self.active_servers):
             self.c, self.c_initialised = heard[len(heard) // 2], True
 
@@ -838,112 +877,127 @@
     ) -> Tunnel:
         return Tunnel(name, self.profiles[profile], tenant, key, group, deadline - self.answer_margin, back)
 
-    def tunnel_arrived(self, tun: Tunnel, midflow: bool, now: float) -> None:
+    def tunnel_arrived(self, tunnel: Tunnel, midflow: bool, now: float) -> None:
         self.arrivals += 1
         self._earn_probe_credit(PERIODIC_PROBE_SHARE + CANDIDATE_PROBE_SHARE)
         # A mid-flow tunnel goes to the server that has it, as far as this balancer has seen it.
-        holders = (ep for ep in self.active_servers if any(t.key == tun.key for t in ep.tunnels))
-        holder = next(holders, None) if midflow and tun.key else None
+        holders = (
+            server for server in self.active_servers if any(t.key == tunnel.key for t in server.tunnels)
+        )
+        holder = next(holders, None) if midflow and tunnel.key else None
         if holder is not None:
-            self._send_setup(tun, holder, now)
+            self._send_setup(tunnel, holder, now)
         elif self.queue_priority and any(
-            self.queue_priority(other) <= self.queue_priority(tun) for other in self.queue
+            self.queue_priority(other) <= self.queue_priority(tunnel) for other in self.queue
         ):
-            self._enqueue(tun, now)
+            self._enqueue(tunnel, now)
         else:
-            self._place(tun, now)
+            self._place(tunnel, now)
 
-    def tunnel_inherited(self, tun: Tunnel, ep: Server, now: float) -> None:
-        tun.setups.append(Setup(ep, now))
-        tun.setups[-1].was_opened = True
-        tun.transition_to(State.OPEN)
+    def tunnel_inherited(self, tunnel: Tunnel, server: Server, now: float) -> None:
+        tunnel.setups.append(Setup(server, now))
+        tunnel.setups[-1].was_opened = True
+        tunnel.transition_to(State.OPEN)
         # Guards against a start on reports that were made before these tunnels stood.
-        ep.probe_due = min(ep.probe_due, now + PLACEMENT_REPORT_DELAY * self.attempt_timeout)
-        self._earn_probe_credit(PERIODIC_PROBE_SHARE if len(ep.tunnels) > FEW_OWN_TUNNELS else 0.0)
+        server.probe_due = min(server.probe_due, now + PLACEMENT_REPORT_DELAY * self.attempt_timeout)
+        self._earn_probe_credit(PERIODIC_PROBE_SHARE if len(server.tunnels) > FEW_OWN_TUNNELS else 0.0)
 
-    def _place(self, tun: Tunnel, now: float) -> None:
+    def _place(self, tunnel: Tunnel, now: float) -> None:
         """Sends a held tunnel on, keeps it held while a server may yet turn up, or answers it."""
-        if now >= tun.deadline or len(tun.setups) >= self.max_setups or not self._assign_planned_zone(tun):
-            self._answer_unopened(tun, now)
+        if (
+            now >= tunnel.deadline
+            or len(tunnel.setups) >= self.max_setups
+            or not self._assign_planned_zone(tunnel)
+        ):
+            self._answer_unopened(tunnel, now)
             return
-        ready = self._select_candidates(tun, now)
+        ready = self._select_candidates(tunnel, now)
         if ready:
-            tun.candidates = self._draw_candidates(tun, ready)
-            self._offer(tun, now)
+            tunnel.candidates = self._draw_candidates(tunnel, ready)
+            self._offer(tunnel, now)
         else:
-            self._queue_or_answer(tun, now)
+            self._queue_or_answer(tunnel, now)
 
-    def _queue_or_answer(self, tun: Tunnel, now: float) -> None:
+    def _queue_or_answer(self, tunnel: Tunnel, now: float) -> None:
         # Guards rule 1: what can't wait for the next look is answered now.
-        (self._enqueue if self._is_worth_queueing(tun, now) else self._answer_unopened)(tun, now)
+        (self._enqueue if self._is_worth_queueing(tunnel, now) else self._answer_unopened)(tunnel, now)
 
-    def _assign_planned_zone(self, tun: Tunnel) -> bool:
+    def _assign_planned_zone(self, tunnel: Tunnel) -> bool:
         """The tier's plan, where there is one: a zone by its shares, the same at each try of a client. What
         is missing to 1 no zone can bear: it is turned away where it came, and handed on to nobody."""
-        left = (tun.group_hash if tun.group else _hash_name(tun.key)) / MAX_HASH if self.zone_shares else 0.0
-        for zone, share in enumerate(self.zone_shares.get(tun.profile, ()) if not tun.setups else ()):
+        left = (
+            (tunnel.group_hash if tunnel.group else _hash_name(tunnel.key)) / MAX_HASH
+            if self.zone_shares
+            else 0.0
+        )
+        for zone, share in enumerate(self.zone_shares.get(tunnel.profile, ()) if not tunnel.setups else ()):
             left -= share
             if left < 0.0:
-                tun.planned_zone = zone
+                tunnel.planned_zone = zone
                 return True
-        return bool(tun.setups) or not self.zone_shares
+        return bool(tunnel.setups) or not self.zone_shares
 
-    def _enqueue(self, tun: Tunnel, now: float) -> None:
-        self.queue[tun] = None
+    def _enqueue(self, tunnel: Tunnel, now: float) -> None:
+        self.queue[tunnel] = None
         self._schedule_timer(now, self.timer_interval)
 
-    def _is_worth_queueing(self, tun: Tunnel, now: float) -> bool:
+    def _is_worth_queueing(self, tunnel: Tunnel, now: float) -> bool:
         """Waiting may help: a list, a report or a cold budget may come."""
-        if not self._is_freely_retryable(tun) and not all(
-            self._is_eligible(tun, ep, now) for ep in self.active_servers
+        if not self._is_freely_retryable(tunnel) and not all(
+            self._is_eligible(tunnel, server, now) for server in self.active_servers
         ):
             return False
-        left = tun.deadline - now
-        return left > self.timer_interval and left > (1.0 - MAX_QUEUE_TIME_SHARE) * tun.profile.client_timeout
-
-    def _send_setup(self, tun: Tunnel, ep: Server, now: float) -> None:
-        self.queue.pop(tun, None)
-        tun.setups.append(Setup(ep, now))
-        tun.transition_to(State.SETTING_UP)
-        ep.unreported_placements.append(now)
-        ep.pending_setups, self.setups_in_progress = ep.pending_setups + 1, self.setups_in_progress + 1
-        self._update_load_estimate(ep)
-        ep.slow_start_budget -= ep.warm_at > now
-        self.host.setup(tun, ep, min(tun.profile.attempt_timeout, tun.deadline - now))
-
-    def _find_refusal_reason(self, tun: Tunnel, now: float) -> str:
+        left = tunnel.deadline - now
+        return (
+            left > self.timer_interval and left > (1.0 - MAX_QUEUE_TIME_SHARE) * tunnel.profile.client_timeout
+        )
+
+    def _send_setup(self, tunnel: Tunnel, server: Server, now: float) -> None:
+        self.queue.pop(tunnel, None)
+        tunnel.setups.append(Setup(server, now))
+        tunnel.transition_to(State.SETTING_UP)
+        server.unreported_placements.append(now)
+        server.pending_setups, self.setups_in_progress = (
+            server.pending_setups + 1,
+            self.setups_in_progress + 1,
+        )
+        self._update_load_estimate(server)
+        server.slow_start_budget -= server.warm_at > now
+        self.host.setup(tunnel, server, min(tunnel.profile.attempt_timeout, tunnel.deadline - now))
+
+    def _find_refusal_reason(self, tunnel: Tunnel, now: float) -> str:
         """What kept a tunnel from a server, for the log: of what keeps servers back, what was nearest."""
-        able = [ep for ep in self.active_servers if self._is_eligible(tun, ep, now)]
-        well = [ep for ep in able if max(ep.ejected_until, ep.unstable_until) <= now]
-        room = self._select_with_capacity(tun, well, now)
-        may_get = [ep for ep in room if self._may_receive_tunnel(ep, now)]
+        able = [server for server in self.active_servers if self._is_eligible(tunnel, server, now)]
+        well = [server for server in able if max(server.ejected_until, server.unstable_until) <= now]
+        room = self._select_with_capacity(tunnel, well, now)
+        may_get = [server for server in room if self._may_receive_tunnel(server, now)]
         steps = (
-            (self.active_servers, "no_list"), (len(tun.setups) < self.max_setups, "setups"),
+            (self.active_servers, "no_list"), (len(tunnel.setups) < self.max_setups, "setups"),
             (not self._is_paused(now), "pause"), (able, "no_repeat"), (well, "ejected"), (room, "full"),
             (may_get, "cold"),
             (
                 may_get
-                and (not self._requires_affinity(tun, now) or self._select_by_affinity(tun, may_get)),
+                and (not self._requires_affinity(tunnel, now) or self._select_by_affinity(tunnel, may_get)),
                 "home",
             ),
         )  # fmt: skip
         return next((why for holds, why in steps if not holds), "time")
 
-    def _answer_unopened(self, tun: Tunnel, now: float, why: str = "") -> None:
-        tun.refusal_reason = why or self._find_refusal_reason(tun, now)
-        self.declined[tun.refusal_reason] += 1
-        self.queue.pop(tun, None)
-        tun.transition_to(State.ENDED)
+    def _answer_unopened(self, tunnel: Tunnel, now: float, why: str = "") -> None:
+        tunnel.refusal_reason = why or self._find_refusal_reason(tunnel, now)
+        self.declined[tunnel.refusal_reason] += 1
+        self.queue.pop(tunnel, None)
+        tunnel.transition_to(State.ENDED)
         self.no_room_until = now + SCARCITY_DURATION * self.attempt_timeout
-        if self.may_decline(tun) and now < tun.deadline + self.answer_margin:
-            self.host.decline(tun, min(self.max_retry_after, 2 * tun.profile.attempt_timeout))
+        if self.may_decline(tunnel) and now < tunnel.deadline + self.answer_margin:
+            self.host.decline(tunnel, min(self.max_retry_after, 2 * tunnel.profile.attempt_timeout))
         else:
-            self.host.close_with_error(tun)
+            self.host.close_with_error(tunnel)
 
-    def setup_opened(self, tun: Tunnel, number: int, now: float) -> None:
-        if tun.state is State.SETTING_UP and number == len(tun.setups) - 1:
-            tun.transition_to(State.OPEN)
-            setup = tun.setups[number]
+    def setup_opened(self, tunnel: Tunnel, number: int, now: float) -> None:
+        if tunnel.state is State.SETTING_UP and number == len(tunnel.setups) - 1:
+            tunnel.transition_to(State.OPEN)
+            setup = tunnel.setups[number]
             setup.was_opened = True
             self._clear_stale(setup.server, now)
             if setup.server.process_missing and not self.may_probe:
@@ -962,13 +1016,16 @@
             )
             self.retry_budget = min(self.retry_budget + RETRY_BUDGET_GAIN, self.max_retry_budget)
 
-    def may_write_request(self, tun: Tunnel, number: int, now: float) -> bool:
+    def may_write_request(self, tunnel: Tunnel, number: int, now: float) -> bool:
         """Its connection is up: rules 1 to 3 bind what is written now, not only what was chosen before."""
-        setup = tun.setups[number]
+        setup = tunnel.setups[number]
         holds = (
-            setup.in_progress and tun.state is State.SETTING_UP and setup.server.active and now < tun.deadline
+            setup.in_progress
+            and tunnel.state is State.SETTING_UP
+            and setup.server.active
+            and now < tunnel.deadline
         )
-        setup.may_have_run = holds and self._is_eligible(tun, setup.server, now)
+        setup.may_have_run = holds and self._is_eligible(tunnel, setup.server, now)
         # Guards rule 4 where a restart was told while it was dialled: the new process has its own budget.
         if setup.may_have_run and setup.server.started_at != setup.server_started_at:
             setup.may_have_run = self._has_slow_start_budget(setup.server, now)
@@ -976,9 +1033,9 @@
         return setup.may_have_run
 
     def setup_ended(
-        self, tun: Tunnel, number: int, ending: Ending, closed: bool, told: Report, now: float
+        self, tunnel: Tunnel, number: int, ending: Ending, closed: bool, told: Report, now: float
     ) -> None:
-        setup = tun.setups[number]
+        setup = tunnel.setups[number]
         setup.in_progress, setup.may_have_run, was_open = (
             False,
             ending not in NOT_EXECUTED_ENDINGS,
@@ -993,12 +1050,12 @@
         if told:
             self._record_report(setup.server, told, now)
         setup.erred = ending == "error" and not was_open
-        blamed = [s.server for s in tun.setups[:number] if s.erred and s.server is not setup.server]
+        blamed = [s.server for s in tunnel.setups[:number] if s.erred and s.server is not setup.server]
         spoilt = setup.erred and bool(blamed)
         if spoilt:
             # Guards the servers' standing against a tunnel that each of them fails: no third one is tried.
-            for ep in blamed:
-                ep.ejected_until, ep.recent_failures = now, max(0, ep.recent_failures - 1)
+            for server in blamed:
+                server.ejected_until, server.recent_failures = now, max(0, server.recent_failures - 1)
         elif ending in ("error", "timeout", "no-connection") or (ending == "full" and setup.server.active):
             self._record_failure(setup.server, ending, now)
         elif ending == "reset":  # a process that ends breaks all at once; one overdriven does not
@@ -1008,92 +1065,94 @@
                 1 + setup.server.broken_tunnels * at_once,
                 now,
             )
-        if tun.state is State.ENDED:
+        if tunnel.state is State.ENDED:
             return
         if closed:
-            self.queue.pop(tun, None)
-            tun.transition_to(State.ENDED)
+            self.queue.pop(tunnel, None)
+            tunnel.transition_to(State.ENDED)
         elif not was_open:
             if not setup.may_have_run and setup.sent_at in setup.server.unreported_placements:
                 setup.server.unreported_placements.remove(setup.sent_at)
                 self._update_load_estimate(setup.server)
-            tun.transition_to(State.QUEUED)
+            tunnel.transition_to(State.QUEUED)
             # Guards against a storm of our own making: where little is opened, little is tried again.
             if self.retry_budget >= 1.0 and not spoilt:
                 self.retry_budget -= 1.0
-                self._place(tun, now)
+                self._place(tunnel, now)
             else:
-                self._answer_unopened(tun, now, "retries")
+                self._answer_unopened(tunnel, now, "retries")
         else:  # an open tunnel whose end was not final
-            tun.transition_to(State.ENDED)
-            self.host.close_with_error(tun)
+            tunnel.transition_to(State.ENDED)
+            self.host.close_with_error(tunnel)
 
-    def client_left(self, tun: Tunnel, now: float) -> None:
-        self.queue.pop(tun, None)
-        if tun.state is State.ENDED:
+    def client_left(self, tunnel: Tunnel, now: float) -> None:
+        self.queue.pop(tunnel, None)
+        if tunnel.state is State.ENDED:
             return
-        was_open = tun.state is State.OPEN
-        tun.transition_to(State.ENDED)
-        for number, setup in enumerate(() if was_open else tun.setups):
+        was_open = tunnel.state is State.OPEN
+        tunnel.transition_to(State.ENDED)
+        for number, setup in enumerate(() if was_open else tunnel.setups):
             if setup.in_progress and (
                 self.may_cancel or not setup.may_have_run
             ):  # what was not sent can be dropped
-                self.host.cancel(tun, number)
+                self.host.cancel(tunnel, number)
 
-    def record_load(self, tun: Tunnel, load: float, now: float) -> None:
+    def record_load(self, tunnel: Tunnel, load: float, now: float) -> None:
         """Guards against a tunnel that grows heavy while its server's last report still looks well."""
-        if tun.state is State.OPEN:
-            ep = tun.setups[-1].server
-            usual = self._mean_tunnel_load(ep.tunnels)
-            if (load - (tun.load or usual)) * self.load_per_tunnel >= MAX_UNREPORTED_LOAD * usual:
-                ep.probe_due = min(ep.probe_due, now + PLACEMENT_REPORT_DELAY * self.attempt_timeout)
-        tun.load = load
+        if tunnel.state is State.OPEN:
+            server = tunnel.setups[-1].server
+            usual = self._mean_tunnel_load(server.tunnels)
+            if (load - (tunnel.load or usual)) * self.load_per_tunnel >= MAX_UNREPORTED_LOAD * usual:
+                server.probe_due = min(server.probe_due, now + PLACEMENT_REPORT_DELAY * self.attempt_timeout)
+        tunnel.load = load
 
     @staticmethod
     def _mean_tunnel_load(tunnels: Iterable[Tunnel]) -> float:
-        known = [tun.load for tun in tunnels if tun.load]
+        known = [tunnel.load for tunnel in tunnels if tunnel.load]
         return sum(known) / len(known) if known else 1.0
 
-    def record_delay(self, tun: Tunnel, delay: float, now: float) -> None:
+    def record_delay(self, tunnel: Tunnel, delay: float, now: float) -> None:
         """Messages at its server take long: it is asked for its load and suspended, and a part of its tunnels
         is moved off as from one asked for too much, again after LATE unless messages grow quicker. Guards
         against whatever is slow for this balancer while reports look well: an untrue or old report, a noisy
         neighbour, an ageing machine, a way, a slow-down of all. Own messages are evidence that a report is
         not. It hurts where one tunnel's messages are slow by themselves, until quick ones lift it."""
-        if tun.state is not State.OPEN:
+        if tunnel.state is not State.OPEN:
             return
-        ep = tun.setups[-1].server
-        if delay <= QUICK_MESSAGE_DELAY * self.attempt_timeout and ep.ejected_for_delay:
-            ep.ejected_for_delay, ep.ejected_until = False, now
+        server = tunnel.setups[-1].server
+        if delay <= QUICK_MESSAGE_DELAY * self.attempt_timeout and server.ejected_for_delay:
+            server.ejected_for_delay, server.ejected_until = False, now
         elif delay > SLOW_MESSAGE_DELAY * self.attempt_timeout:
-            ep.ejected_for_delay = True
-            ep.probe_due = min(ep.probe_due, max(now, ep.reported_at + self.attempt_timeout))
-            self._record_failure(ep, "timeout", now)
-            if delay > RECOVERING_DELAY_RATIO * ep.message_delay:
-                ep.reported_load = max(ep.reported_load, ASSUMED_OVERLOAD)
-                self._update_load_estimate(ep)
-                self._migrate_excess(ep, now, PLACEMENT_REPORT_DELAY)
-        ep.message_delay = delay
-
-    def record_silence(self, tun: Tunnel, span: float, now: float) -> None:
+            server.ejected_for_delay = True
+            server.probe_due = min(server.probe_due, max(now, server.reported_at + self.attempt_timeout))
+            self._record_failure(server, "timeout", now)
+            if delay > RECOVERING_DELAY_RATIO * server.message_delay:
+                server.reported_load = max(server.reported_load, ASSUMED_OVERLOAD)
+                self._update_load_estimate(server)
+                self._migrate_excess(server, now, PLACEMENT_REPORT_DELAY)
+        server.message_delay = delay
+
+    def record_silence(self, tunnel: Tunnel, span: float, now: float) -> None:
         """Guards against a machine that vanishes: its connections stay open and bring nothing back."""
-        if tun.state is State.OPEN and span >= min(
+        if tunnel.state is State.OPEN and span >= min(
             SILENCE_TIMEOUT * self.attempt_timeout, MAX_SILENCE_SECONDS
         ):
-            self._record_failure(tun.setups[-1].server, "timeout", now)
-            tun.transition_to(State.ENDED)
-            self.host.migrate(tun)
+            self._record_failure(tunnel.setups[-1].server, "timeout", now)
+            tunnel.transition_to(State.ENDED)
+            self.host.migrate(tunnel)
 
     # Health.
-    def _record_failure(self, ep: Server, ending: Ending, now: float) -> None:
-        ep.trial_due = now + PLACEMENT_REPORT_DELAY * self.attempt_timeout * self.uniform(0.5, 1.5)
-        if ep.ejected_until <= now:
-            ep.recent_failures = min(ep.recent_failures + 1, 4)
-            ep.ejected_until = now + self.attempt_timeout * 4 * 2**ep.recent_failures * self.uniform(0.8, 1.2)
+    def _record_failure(self, server: Server, ending: Ending, now: float) -> None:
+        server.trial_due = now + PLACEMENT_REPORT_DELAY * self.attempt_timeout * self.uniform(0.5, 1.5)
+        if server.ejected_until <= now:
+            server.recent_failures = min(server.recent_failures + 1, 4)
+            server.ejected_until = now + self.attempt_timeout * 4 * 2**server.recent_failures * self.uniform(
+                0.8, 1.2
+            )
         if ending == "no-connection":
-            self.process_losses[ep.cell].extend(() if ep.process_missing else (now,))
-            ep.refused_at = now
-            self._mark_process_missing(ep, now)
+            self.process_losses[server.cell].extend(() if server.process_missing else (now,))
+            server.refused_at = now
+            self._mark_process_missing(server, now)
             # Many of an old list, never heard: the power of all may have gone, so none is taken to be warm.
             old = [other for other in self.active_servers if other.unconfirmed]
             gone = (
@@ -1102,51 +1161,59 @@
             for other in [o for o in old if o.warm_at <= now] if gone else ():
                 self._mark_unconfirmed(other, now)
 
-    def _may_have_restarted(self, ep: Server, now: float) -> bool:
+    def _may_have_restarted(self, server: Server, now: float) -> bool:
         """Several of its cell lost their process lately, and of this one nothing was seen since: no report,
         no own tunnel that stands. Guards rule 4 where a rack or all power goes: a balancer that had nothing
         there would fill it at once. It hurts what was idle before."""
-        first, last = self.process_losses[ep.cell]
-        seen = ep.reported_at >= last or any(tun.setups[-1].sent_at < last for tun in ep.tunnels)
+        first, last = self.process_losses[server.cell]
+        seen = server.reported_at >= last or any(
+            tunnel.setups[-1].sent_at < last for tunnel in server.tunnels
+        )
         return not seen and now - first < self.warm_up_window
 
-    def _mark_process_missing(self, ep: Server, at: float) -> None:
+    def _mark_process_missing(self, server: Server, at: float) -> None:
         """It has no process. Until it is heard, it may get what one that starts then may."""
-        if not ep.process_missing:
-            ep.process_missing = True
-            ep.longest_uptime = (
-                max(ep.longest_uptime, at - ep.recovered_at)
-                if at - ep.recovered_at < HISTORY_SECONDS
+        if not server.process_missing:
+            server.process_missing = True
+            server.longest_uptime = (
+                max(server.longest_uptime, at - server.recovered_at)
+                if at - server.recovered_at < HISTORY_SECONDS
                 else 0.0
             )
-            ep.previous_warm_at, ep.warm_at = ep.warm_at, inf
-            ep.slow_start_budget, ep.budget_updated_at = min(ep.slow_start_budget, self.uniform(0.0, 1.0)), at
+            server.previous_warm_at, server.warm_at = server.warm_at, inf
+            server.slow_start_budget, server.budget_updated_at = (
+                min(server.slow_start_budget, self.uniform(0.0, 1.0)),
+                at,
+            )
 
-    def _record_return(self, ep: Server, figure: float | None, load: float, now: float) -> None:
+    def _record_return(self, server: Server, figure: float | None, load: float, now: float) -> None:
         """One that had no process, or broke own tunnels at a moment, answers again. Rule 4, where no list
         tells: it was out of reach or full if it holds half of what it and all others did, and own tunnels
         stand or its load is more than a new one grows to; not after both. Else it started now: its report
         before may be an old one, and others may fill it at once. It hurts one that emptied meanwhile."""
-        at, before = max(ep.refused_at, ep.broken_at), max(self.mean_busy, ep.reported_busy or 0.0)
-        warm_at = ep.previous_warm_at if ep.process_missing else ep.warm_at
+        at, before = (
+            max(server.refused_at, server.broken_at),
+            max(self.mean_busy, server.reported_busy or 0.0),
+        )
+        warm_at = server.previous_warm_at if server.process_missing else server.warm_at
         told = (
-            ep.reported_busy is None and warm_at > now and not ep.start_inferred
+            server.reported_busy is None and warm_at > now and not server.start_inferred
         )  # started lately, and not heard since
         old = (
-            any(t.setups[-1].sent_at < at for t in ep.tunnels)
+            any(t.setups[-1].sent_at < at for t in server.tunnels)
             or self._min_seconds_to_reach(load) > now - at + self.attempt_timeout
         )
         if told or (
             old
             and (figure or 0.0) > RESTART_LOAD_RATIO * before
-            and not (ep.process_missing and ep.broken_tunnels >= MIN_BROKEN_TUNNELS)
+            and not (server.process_missing and server.broken_tunnels >= MIN_BROKEN_TUNNELS)
         ):
-            ep.warm_at = warm_at
+            server.warm_at = warm_at
         else:
-            self._record_process_start(ep, now, now)
-            ep.start_inferred = True
-        ep.broken_tunnels = 0
-        self._record_recovery(ep, now)
+            self._record_process_start(server, now, now)
+            server.start_inferred = True
+        server.broken_tunnels = 0
+        self._record_recovery(server, now)
 
     def _min_seconds_to_reach(self, load: float) -> float:
         """How long a load takes at least to come within the budget that all spend on one that starts."""
@@ -1155,94 +1222,96 @@
         )
 
     @staticmethod
-    def _record_recovery(ep: Server, at: float) -> None:
+    def _record_recovery(server: Server, at: float) -> None:
         """Guards against a server that fails by turns, whatever the cause: it would break tunnels each time.
         Once it has fallen again within LONG it is held back for longer than it ever stayed up; one that
         restarts once is not. It hurts one just mended after several falls, for as long as those lay apart."""
-        if ep.process_missing:
-            ep.process_missing, ep.recovered_at = False, at
-            ep.unstable_until = at + UNSTABLE_PAUSE_FACTOR * ep.longest_uptime
+        if server.process_missing:
+            server.process_missing, server.recovered_at = False, at
+            server.unstable_until = at + UNSTABLE_PAUSE_FACTOR * server.longest_uptime
 
     # Reports.
-    def probe_ended(self, ep: Server, ending: Ending, report: Report, now: float) -> None:
-        ep.probing, ep.answered_at = False, now
+    def probe_ended(self, server: Server, ending: Ending, report: Report, now: float) -> None:
+        server.probing, server.answered_at = False, now
         if ending == "ok":
-            self._clear_stale(ep, now)
+            self._clear_stale(server, now)
         elif ending == "moot":  # it never went out
             self.probe_credit += self.probe_price
         if ending == "ok" and report:
-            self._record_report(ep, report, now)
-            self._migrate_excess(ep, now)
-        elif ending == "ok" and ep.process_missing:
-            self._record_return(ep, None, 0.0, now)
+            self._record_report(server, report, now)
+            self._migrate_excess(server, now)
+        elif ending == "ok" and server.process_missing:
+            self._record_return(server, None, 0.0, now)
         elif ending in ("error", "timeout", "no-connection", "reset"):
-            self._record_failure(ep, ending, now)
-        self._resume_after_probe(ep, now)
+            self._record_failure(server, ending, now)
+        self._resume_after_probe(server, now)
 
-    def _record_report(self, ep: Server, report: Report, now: float) -> None:
+    def _record_report(self, server: Server, report: Report, now: float) -> None:
         load = report.get("load", 0.0)
         figure = next((report[word] for word in ("connections", "load", "backlog") if word in report), None)
-        empty = self._may_have_restarted(ep, now) and (figure or 0.0) <= RESTART_LOAD_RATIO * self.mean_busy
-        if ep.process_missing or ep.broken_tunnels >= MIN_BROKEN_TUNNELS or empty:
-            self._record_return(ep, figure, load, now)
-        ep.reported_load, ep.reported_at, ep.answered_at = load, now, now
-        if ep.start_inferred:
-            ep.warm_at = min(ep.warm_at, now - self._min_seconds_to_reach(load) + self.warm_up_window)
-        ep.reported_busy = ep.reported_busy if figure is None else figure
+        empty = (
+            self._may_have_restarted(server, now) and (figure or 0.0) <= RESTART_LOAD_RATIO * self.mean_busy
+        )
+        if server.process_missing or server.broken_tunnels >= MIN_BROKEN_TUNNELS or empty:
+            self._record_return(server, figure, load, now)
+        server.reported_load, server.reported_at, server.answered_at = load, now, now
+        if server.start_inferred:
+            server.warm_at = min(server.warm_at, now - self._min_seconds_to_reach(load) + self.warm_up_window)
+        server.reported_busy = server.reported_busy if figure is None else figure
         # Guards against reports that are late: what was placed just before is not in them yet.
         cut = now - PLACEMENT_REPORT_DELAY * self.attempt_timeout
-        ep.unreported_placements = [at for at in ep.unreported_placements if at > cut]
+        server.unreported_placements = [at for at in server.unreported_placements if at > cut]
         if "load" in report:
-            self._update_max_load_per_tunnel(ep, now, cut)
-            ep.assumed_peer_load = self.uniform(0.0, self._max_peer_load(now))
-        self._update_load_estimate(ep)
+            self._update_max_load_per_tunnel(server, now, cut)
+            server.assumed_peer_load = self.uniform(0.0, self._max_peer_load(now))
+        self._update_load_estimate(server)
         if not self.c_initialised:
             self._initialise_threshold()
 
-    def _migrate_excess(self, ep: Server, now: float, settle: float = MIGRATION_REPORT_DELAY) -> None:
+    def _migrate_excess(self, server: Server, now: float, settle: float = MIGRATION_REPORT_DELAY) -> None:
         """Moves this balancer's share of what a server holds too much. Guards against a server asked for more
         than it can do: it would answer late and drop tunnels anyway. All hear the same load: the same part of
         each one's tunnels takes it to the level, a crowded fleet's median, against clients sent round. Where
         that is under its top, it gives up whole groups, the least at home first: light tunnels keep what
         groups cost."""
-        ep.migrated_share = (
-            0.0 if now - ep.migrated_at >= settle * self.attempt_timeout else ep.migrated_share
+        server.migrated_share = (
+            0.0 if now - server.migrated_at >= settle * self.attempt_timeout else server.migrated_share
         )
-        if ep.reported_load < self.migration_target + MIGRATION_MARGIN or not ep.tunnels:
+        if server.reported_load < self.migration_target + MIGRATION_MARGIN or not server.tunnels:
             return
         # What was moved off so lately is not in the report yet.
-        part = 1.0 - self.migration_target / ep.reported_load / (1.0 - ep.migrated_share)
-        if part < MIGRATION_MARGIN * bool(ep.migrated_share):
+        part = 1.0 - self.migration_target / server.reported_load / (1.0 - server.migrated_share)
+        if part < MIGRATION_MARGIN * bool(server.migrated_share):
             return
-        ep.migrated_share, ep.migrated_at = 1.0 - (1.0 - ep.migrated_share) * (1.0 - part), now
-        if len(ep.tunnels) > FEW_OWN_TUNNELS:  # whether it was enough
-            ep.probe_due = min(ep.probe_due, now + MIGRATION_REPORT_DELAY * self.attempt_timeout)
+        server.migrated_share, server.migrated_at = 1.0 - (1.0 - server.migrated_share) * (1.0 - part), now
+        if len(server.tunnels) > FEW_OWN_TUNNELS:  # whether it was enough
+            server.probe_due = min(server.probe_due, now + MIGRATION_REPORT_DELAY * self.attempt_timeout)
         whole = (
-            ep.reported_load >= 1.0
+            server.reported_load >= 1.0
             and self.migration_target < MAX_MIGRATION_TARGET
-            and len(ep.tunnels) > FEW_OWN_TUNNELS
+            and len(server.tunnels) > FEW_OWN_TUNNELS
         )
-        usual = self._mean_tunnel_load(ep.tunnels)
+        usual = self._mean_tunnel_load(server.tunnels)
         cost = self._mean_tunnel_load(
-            tun for at in self.active_servers for tun in at.tunnels
+            tunnel for at in self.active_servers for tunnel in at.tunnels
         )  # about what a group costs
         units: dict[Tunnel | str, list[Tunnel]] = {}
-        for tun in reversed(ep.tunnels):
-            units.setdefault((whole and tun.group) or tun, []).append(tun)
+        for tunnel in reversed(server.tunnels):
+            units.setdefault((whole and tunnel.group) or tunnel, []).append(tunnel)
         weight = {u: sum(t.load or usual for t in units[u]) + cost * isinstance(u, str) for u in units}
         excess = part * sum(weight.values())
         # Else the heaviest first, then the newest: the fewest clients are sent round.
         far = {
-            unit: self._affinity_distance(units[unit][0], ep) if isinstance(unit, str) else unit.load
+            unit: self._affinity_distance(units[unit][0], server) if isinstance(unit, str) else unit.load
             for unit in units
         }
         for unit in sorted(units, key=lambda u: -far[u]):
             if excess < weight[unit] * self.random():
                 break
             excess -= weight[unit]
-            for tun in units[unit]:
-                tun.transition_to(State.ENDED)
-                self.host.migrate(tun)
+            for tunnel in units[unit]:
+                tunnel.transition_to(State.ENDED)
+                self.host.migrate(tunnel)
 
     # By the clock.
     def _schedule_timer(self, now: float, delay: float) -> None:
@@ -1284,7 +1353,10 @@
         if now - self.peak_started_at >= HISTORY_SECONDS:
             self.previous_peak_busy, self.peak_busy, self.peak_started_at = self.peak_busy, 0.0, now
         self._update_fleet_estimates(span)
-        young = sum(ep.start_listed and ep.warm_at > now - self.warm_up_window for ep in self.active_servers)
+        young = sum(
+            server.start_listed and server.warm_at > now - self.warm_up_window
+            for server in self.active_servers
+        )
         self.is_fleet_renewing = self.balancer_count > len(
             self.active_servers
         ) and young > FLEET_RENEWAL_SHARE * len(self.active_servers)
@@ -1297,23 +1369,27 @@
     def _update_fleet_estimates(self, span: float) -> None:
         """What the limit is, what one tunnel adds to a load, and what a cold server may get."""
         heard = self._servers_with_reports()
-        total = sum(ep.reported_load for ep in heard)
+        total = sum(server.reported_load for server in heard)
         if heard:
             self.mean_load = total / len(heard)
-            self.mean_busy = sum(self._estimated_busy(ep, 0.0) for ep in heard) / len(heard)
+            self.mean_busy = sum(self._estimated_busy(server, 0.0) for server in heard) / len(heard)
             # Guards a server from a fleet's tunnels that all find it first, as a home or as new: where
             # loads are not told, none takes over 1.25 times the mean of connections at those in use, by what
             # it can do at its age; with those to come, if several wait here. It hurts who could do more.
-            well = [ep for ep in heard if ep.ejected_until <= self.last_pass_at and not ep.process_missing]
+            well = [
+                server
+                for server in heard
+                if server.ejected_until <= self.last_pass_at and not server.process_missing
+            ]
             if (
                 well
                 and not self.reports_load
                 and not self.busy_is_fraction
                 and self.balancer_count > len(self.active_servers)
             ):
-                able = sum(self._available_capacity(ep, self.last_pass_at) for ep in well)
+                able = sum(self._available_capacity(server, self.last_pass_at) for server in well)
                 come = max(0, len(self.queue) - 1) * self.balancer_count
-                stand = sum(self._estimated_busy(ep, 0.0) for ep in well)
+                stand = sum(self._estimated_busy(server, 0.0) for server in well)
                 self.connection_limit = (
                     max(1.0, (stand + come) / able) * MAX_MIGRATION_TARGET / MAX_LOAD_LIMIT
                 )
@@ -1324,9 +1400,9 @@
                 else min(max(MIN_LOAD_LIMIT, LOAD_LIMIT_OVER_MEAN * self.mean_load), MAX_LOAD_LIMIT)
             )
             self.load_limit = MAX_MIGRATION_TARGET if self.zone_shares else usual
-            median = sorted(ep.reported_load for ep in heard)[len(heard) // 2]
+            median = sorted(server.reported_load for server in heard)[len(heard) // 2]
             self.migration_target = min(max(self.load_limit, median), MAX_MIGRATION_TARGET)
-        count = sum(len(ep.tunnels) for ep in heard)
+        count = sum(len(server.tunnels) for server in heard)
         if count >= 2 * len(heard) > 0:
             # Never nought, also where no load is reported. It rises slowly: guards one that has just started,
             # holds few tunnels where the others hold many, and would find all servers full.
@@ -1339,8 +1415,8 @@
                 seen, self.load_per_tunnel + (seen - self.load_per_tunnel) * min(1.0, span / HISTORY_SECONDS)
             )
             self.busy_per_tunnel = self.load_per_tunnel if self.busy_is_fraction else self.busy_per_tunnel
-        for ep in self.active_servers:
-            self._update_load_estimate(ep)
+        for server in self.active_servers:
+            self._update_load_estimate(server)
         # Rule 4. A server that starts can take as many tunnels a second as fill it over its warm-up. Settings
         # tell what fills it: guards against a storm that raises it, and many tunnels that seem to be light.
         warm = 1.0 / (max(self.load_per_tunnel, self.initial_load_per_tunnel) * self.warm_up_window)
@@ -1350,8 +1426,8 @@
 
     def set_budget_share(self, part: float, now: float) -> None:
         """Rule 4: balancers lend one another parts of the budget; what was saved is by the part before."""
-        for ep in self.active_servers:
-            self._has_slow_start_budget(ep, now)
+        for server in self.active_servers:
+            self._has_slow_start_budget(server, now)
         self.slow_start_rate, self.budget_share = self.slow_start_rate / self.budget_share * part, part
 
     def _probe_servers(self, now: float) -> None:
@@ -1369,29 +1445,29 @@
         # From a start by chance: where not all can be probed, balancers probe others.
         use = self.server_subset or live
         first = int(self.random() * len(use))
-        for ep in use[first:] + use[:first]:
+        for server in use[first:] + use[:first]:
             # Guards against tunnels that wait for servers which have long had room again.
-            age = now - ep.reported_at
-            news = age >= self.attempt_timeout and self._unreported_load(ep) >= MAX_UNREPORTED_LOAD
-            if waits and ep.estimated_load >= self.load_limit and age >= self.attempt_timeout:
+            age = now - server.reported_at
+            news = age >= self.attempt_timeout and self._unreported_load(server) >= MAX_UNREPORTED_LOAD
+            if waits and server.estimated_load >= self.load_limit and age >= self.attempt_timeout:
                 news, waits = True, False
             # Guards against paying for reports of servers that may get nothing yet, whatever they tell.
-            gets = ep.tunnels or ep.process_missing or self._has_slow_start_budget(ep, now)
-            if ep.ejected_until > now + PLACEMENT_REPORT_DELAY * self.attempt_timeout or not gets:
+            gets = server.tunnels or server.process_missing or self._has_slow_start_budget(server, now)
+            if server.ejected_until > now + PLACEMENT_REPORT_DELAY * self.attempt_timeout or not gets:
                 continue
-            look = ep.estimate_due <= now and bool(self.queue)
-            due = look or news or ep.probe_due <= now
-            if due and not ep.probing and self._can_afford_probe(0 if look else RESERVED_PROBES):
+            look = server.estimate_due <= now and bool(self.queue)
+            due = look or news or server.probe_due <= now
+            if due and not server.probing and self._can_afford_probe(0 if look else RESERVED_PROBES):
                 # A probe may bring no report, as when the server has none yet: asked again sooner.
                 wait = (
                     min(every, PLACEMENT_REPORT_DELAY * self.attempt_timeout)
-                    if ep.reported_busy is None
+                    if server.reported_busy is None
                     else every
                 )
-                ep.probe_due = now + wait * self.uniform(0.8, 1.2)
-                self._request_load(ep)
+                server.probe_due = now + wait * self.uniform(0.8, 1.2)
+                self._request_load(server)
         self.next_estimate_due = min(
-            (ep.estimate_due for ep in self.active_servers if ep.estimate_due > now), default=inf
+            (server.estimate_due for server in self.active_servers if server.estimate_due > now), default=inf
         )
 
     def _choose_subset(self, every: float) -> None:
@@ -1408,23 +1484,29 @@
         self.server_subset = self.active_servers[int(self.subset_offset * n) :: n] if n > 1 else None
 
     def _has_queued_tunnels(self) -> bool:
-        return any(tun.state is State.QUEUED for tun in self.queue)
+        return any(tunnel.state is State.QUEUED for tunnel in self.queue)
 
     def _serve_queue(self, now: float) -> None:
         none_ready = set[str]()  # for tunnels that may go anywhere, or of that group: they need not all look
-        for tun in sorted(self.queue, key=self.queue_priority) if self.queue_priority else list(self.queue):
-            if tun.state is State.PROBING and now + 2 * self.timer_interval >= tun.deadline:
-                tun.transition_to(State.QUEUED)  # no time is left to wait for an answer
+        for tunnel in (
+            sorted(self.queue, key=self.queue_priority) if self.queue_priority else list(self.queue)
+        ):
+            if tunnel.state is State.PROBING and now + 2 * self.timer_interval >= tunnel.deadline:
+                tunnel.transition_to(State.QUEUED)  # no time is left to wait for an answer
                 # Guards rule 4: a cold server's budget may have gone to another tunnel meanwhile.
-                drawn = [ep for ep in tun.candidates if ep.active and self._has_slow_start_budget(ep, now)]
-                ready = self._select_ready(tun, drawn, now)
+                drawn = [
+                    server
+                    for server in tunnel.candidates
+                    if server.active and self._has_slow_start_budget(server, now)
+                ]
+                ready = self._select_ready(tunnel, drawn, now)
                 if ready:
-                    self._send_setup(tun, ready[-1], now)
+                    self._send_setup(tunnel, ready[-1], now)
                 else:
-                    self._answer_unopened(tun, now)
-            elif tun.state is State.QUEUED:
-                group = tun.group if self.is_fleet_renewing else ""
+                    self._answer_unopened(tunnel, now)
+            elif tunnel.state is State.QUEUED:
+                group = tunnel.group if self.is_fleet_renewing else ""
                 found = group in none_ready or len(none_ready) >= MAX_UNPLACED_GROUPS
-                if not found or tun.setups or not self._is_worth_queueing(tun, now):
-                    self._place(tun, now)
-                    none_ready.update((group,) if tun.state is State.QUEUED else ())
+                if not found or tunnel.setups or not self._is_worth_queueing(tunnel, now):
+                    self._place(tunnel, now)
+                    none_ready.update((group,) if tunnel.state is State.QUEUED else ())
--- a/tests/filling_world.py
+++ b/tests/filling_world.py
@@ -33,17 +33,17 @@
         super().__init__()
         self.world = world
 
-    def setup(self, tun: Tunnel, ep: Server, patience: float) -> None:
+    def setup(self, tunnel: Tunnel, server: Server, timeout: float) -> None:
         world = self.world
-        world.placements[ep.name].append(world.now)
-        number = len(tun.setups) - 1
-        world.later(ANSWER_SECONDS, partial(world.balancers[self].setup_opened, tun, number))
+        world.placements[server.name].append(world.now)
+        number = len(tunnel.setups) - 1
+        world.later(ANSWER_SECONDS, partial(world.balancers[self].setup_opened, tunnel, number))
 
-    def decline(self, tun: Tunnel, come_back: float) -> None:
+    def decline(self, tunnel: Tunnel, retry_after: float) -> None:
         self.world.declined += 1
 
-    def probe(self, ep: Server) -> None:
-        self.world.later(ANSWER_SECONDS, partial(self.world.answer_probe, self.world.balancers[self], ep))
+    def probe(self, server: Server) -> None:
+        self.world.later(ANSWER_SECONDS, partial(self.world.answer_probe, self.world.balancers[self], server))
 
 
 @dataclass
@@ -68,7 +68,7 @@
         names = [f"s{i}" for i in range(self.server_count)]
         self.placements = {name: [] for name in names}
         self.entries = [ServerEntry(name, "active", 0, 0, 0, START, 1.0) for name in names]
-        self.site = told = make_site(
+        self.site = settings = make_site(
             balancer_count=self.balancer_count,
             tunnel_quota=float(WARM_CAPACITY * self.server_count),
             list_is_polled=True,
@@ -79,19 +79,19 @@
             Leases(
                 n,
                 self.balancer_count,
-                told.overload_window,
+                settings.overload_window,
                 Random(f"{self.seed}/loans/{n}"),
-                START - told.overload_window,
+                START - settings.overload_window,
             )
             for n in range(self.balancer_count)
         ]
 
     def _start_balancer(self, host: Host, n: int, time: int) -> None:
-        told = replace(self.site, balancer_index=n if self.balancers_indexed else -1)
+        settings = replace(self.site, balancer_index=n if self.balancers_indexed else -1)
         rng = Random(f"{self.seed}/{n}" + time * "/again")
-        self.balancers[host] = bal = Balancer(told, host, rng, self.now)
-        bal.update_servers(self.entries, True, False, self.now)
-        bal.probe_credit = 1e9  # what probes cost is not the matter here
+        self.balancers[host] = balancer = Balancer(settings, host, rng, self.now)
+        balancer.update_servers(self.entries, True, False, self.now)
+        balancer.probe_credit = 1e9  # what probes cost is not the matter here
 
     def restart_balancers(self, every: int, time: int) -> None:
         """So many balancers, one after another in their order, forget all that they sent."""
@@ -99,10 +99,12 @@
         for n in range(time * every, min((time + 1) * every, self.balancer_count)):
             self._start_balancer(hosts[n], n, time + 1)
 
-    def answer_probe(self, bal: Balancer, ep: Server, now: float) -> None:
-        age = (now - START) / bal.warm_up_window
-        share = min(1.0, bal.slow_start_share + (1 - bal.slow_start_share) * age)
-        bal.probe_ended(ep, "ok", {"load": len(self.placements[ep.name]) / (WARM_CAPACITY * share)}, now)
+    def answer_probe(self, balancer: Balancer, server: Server, now: float) -> None:
+        age = (now - START) / balancer.warm_up_window
+        share = min(1.0, balancer.slow_start_share + (1 - balancer.slow_start_share) * age)
+        balancer.probe_ended(
+            server, "ok", {"load": len(self.placements[server.name]) / (WARM_CAPACITY * share)}, now
+        )
 
     def run(self, seconds: float, all_at: float) -> None:
         """`all_at`: seconds from the start at which five tunnels come at each balancer at once."""
@@ -112,20 +114,22 @@
             self.run_until(until)
             come = not came and until >= START + all_at
             came |= come
-            for n, bal in enumerate(self.balancers.values()):
+            for n, balancer in enumerate(self.balancers.values()):
                 busy = n % (self.balancer_count // self.busy_balancers) == 0  # apart, as they would be
                 many = 5 * come + (busy and self.rng.random() < self.arrival_rate * STEP_SECONDS)
                 for _ in range(many):
-                    bal.tunnel_arrived(bal.new_tunnel("t", 0, 0, "k", "", until + 3.0, False), False, until)
-                bal.timer_due(until)
+                    balancer.tunnel_arrived(
+                        balancer.new_tunnel("t", 0, 0, "k", "", until + 3.0, False), False, until
+                    )
+                balancer.timer_due(until)
                 if self.leases_enabled:
-                    self._exchange_leases(n, bal, until)
+                    self._exchange_leases(n, balancer, until)
 
-    def _exchange_leases(self, n: int, bal: Balancer, now: float) -> None:
-        waits = any(tun.state is State.QUEUED for tun in bal.queue) or now < bal.no_room_until
+    def _exchange_leases(self, n: int, balancer: Balancer, now: float) -> None:
+        waits = any(tunnel.state is State.QUEUED for tunnel in balancer.queue) or now < balancer.no_room_until
         for lender, number in self.leases[n].requests_due(waits, not waits, now):
             self._deliver(partial(self._receive_request, n, lender, number))
-        self._apply_budget_share(n, bal, now)
+        self._apply_budget_share(n, balancer, now)
 
     def _deliver(self, word: Callable[[float], object]) -> None:
         if self.rng.random() >= self.loss_rate:
@@ -136,51 +140,64 @@
             self._apply_budget_share(lender, list(self.balancers.values())[lender], now)
             self._deliver(partial(self.leases[borrower].receive_grant, lender, number))
 
-    def _apply_budget_share(self, n: int, bal: Balancer, now: float) -> None:
+    def _apply_budget_share(self, n: int, balancer: Balancer, now: float) -> None:
         part = self.leases[n].budget_share(now)
-        if part != bal.budget_share:
-            bal.set_budget_share(part, now)
+        if part != balancer.budget_share:
+            balancer.set_budget_share(part, now)
 
     def max_overload_ratio(self) -> float:
         """The most that a server was sent within a tip span, of what it could take then with two standard
         deviations of chance."""
-        told = make_site()
+        settings = make_site()
         worst = 0.0
         for times in self.placements.values():
             for i, at in enumerate(times):
-                begin = at - told.overload_window
-                age = max(0.0, at - told.overload_window / 2 - START) / told.warm_up_window
-                share = told.slow_start_share + (1 - told.slow_start_share) * age
+                begin = at - settings.overload_window
+                age = max(0.0, at - settings.overload_window / 2 - START) / settings.warm_up_window
+                share = settings.slow_start_share + (1 - settings.slow_start_share) * age
                 limit = (
-                    told.overload_factor * WARM_CAPACITY / told.warm_up_window * share * told.overload_window
+                    settings.overload_factor
+                    * WARM_CAPACITY
+                    / settings.warm_up_window
+                    * share
+                    * settings.overload_window
                 )
                 worst = max(worst, (i + 1 - bisect_left(times, begin)) / (limit + 2.0 * limit**0.5))
         return worst
 
     def max_overload_excess(self) -> float:
         """The most by which what a server was sent within a tip span is over N + 2 root N + 2."""
-        told, worst = self.site, -inf
+        settings, worst = self.site, -inf
         for times in self.placements.values():
             for i, at in enumerate(times):
-                age = max(0.0, at - told.overload_window - START)
-                share = told.slow_start_share + (1 - told.slow_start_share) * age / told.warm_up_window
+                age = max(0.0, at - settings.overload_window - START)
+                share = (
+                    settings.slow_start_share
+                    + (1 - settings.slow_start_share) * age / settings.warm_up_window
+                )
                 may = (
-                    told.overload_factor * WARM_CAPACITY / told.warm_up_window * share * told.overload_window
+                    settings.overload_factor
+                    * WARM_CAPACITY
+                    / settings.warm_up_window
+                    * share
+                    * settings.overload_window
                 )
                 worst = max(
-                    worst, i + 1 - bisect_left(times, at - told.overload_window) - may - 2 * may**0.5 - 2
+                    worst, i + 1 - bisect_left(times, at - settings.overload_window) - may - 2 * may**0.5 - 2
                 )
         return worst
 
     def total_budget(self) -> float:
         """What all balancers may send until now, with what is kept back for chance."""
-        told, age = self.site, self.now - START
-        share = told.slow_start_share + (1 - told.slow_start_share) * age / 2 / told.warm_up_window
+        settings, age = self.site, self.now - START
+        share = (
+            settings.slow_start_share + (1 - settings.slow_start_share) * age / 2 / settings.warm_up_window
+        )
         return (
             SLOW_START_SAFETY_FACTOR
-            * told.overload_factor
+            * settings.overload_factor
             * WARM_CAPACITY
-            / told.warm_up_window
+            / settings.warm_up_window
             * share
             * age
             * self.server_count
--- a/tests/gathering_world.py
+++ b/tests/gathering_world.py
@@ -34,19 +34,21 @@
         super().__init__()
         self.world = world
 
-    def setup(self, tun: Tunnel, ep: Server, patience: float) -> None:
-        self.world.later(ANSWER_SECONDS, partial(self.world.open_tunnel, self, tun, ep, len(tun.setups) - 1))
+    def setup(self, tunnel: Tunnel, server: Server, timeout: float) -> None:
+        self.world.later(
+            ANSWER_SECONDS, partial(self.world.open_tunnel, self, tunnel, server, len(tunnel.setups) - 1)
+        )
 
-    def decline(self, tun: Tunnel, come_back: float) -> None:
+    def decline(self, tunnel: Tunnel, retry_after: float) -> None:
         self.world.declined += 1
-        self.world.schedule_arrival(tun.group)
+        self.world.schedule_arrival(tunnel.group)
 
-    def migrate(self, tun: Tunnel) -> None:
-        self.world.end_tunnel(tun)
-        self.world.schedule_arrival(tun.group)
+    def migrate(self, tunnel: Tunnel) -> None:
+        self.world.end_tunnel(tunnel)
+        self.world.schedule_arrival(tunnel.group)
 
-    def probe(self, ep: Server) -> None:
-        self.world.later(ANSWER_SECONDS, partial(self.world.answer_probe, self, ep))
+    def probe(self, server: Server) -> None:
+        self.world.later(ANSWER_SECONDS, partial(self.world.answer_probe, self, server))
 
 
 @dataclass
@@ -68,7 +70,7 @@
         self.rng = Random(self.seed)
         self.start_clock()
         lines = [self.add_server(f"s{i}", 0.0) for i in range(self.server_count)]
-        told = {
+        settings = {
             "list_is_polled": True, "slow_start_share": SLOW_START_SHARE, "warm_up_window": WARM_UP_WINDOW,
             "overload_factor": OVERLOAD_FACTOR, "overload_window": OVERLOAD_WINDOW,
             "balancer_count": self.balancer_count, "report_fields": (self.report_field,),
@@ -77,11 +79,11 @@
         self.balancers: dict[Host, Balancer] = {}
         for n in range(self.balancer_count):
             host = Host(self)
-            self.balancers[host] = bal = Balancer(
-                make_site(**told, balancer_index=n), host, Random(f"{self.seed}/{n}"), START
+            self.balancers[host] = balancer = Balancer(
+                make_site(**settings, balancer_index=n), host, Random(f"{self.seed}/{n}"), START
             )
-            bal.update_servers(lines, True, False, START)
-            bal.probe_credit = 1e9  # what probes cost is not the matter here
+            balancer.update_servers(lines, True, False, START)
+            balancer.probe_credit = 1e9  # what probes cost is not the matter here
 
     def add_server(self, name: str, started: float) -> ServerEntry:
         self.groups_by_server[name], self.started_at[name] = Counter(), started
@@ -92,20 +94,20 @@
 
     def arrive(self, group: str, now: float) -> None:
         host = self.rng.choice(list(self.balancers))
-        bal = self.balancers[host]
-        bal.tunnel_arrived(bal.new_tunnel("t", 0, 0, "k", group, now + 3.0, False), False, now)
+        balancer = self.balancers[host]
+        balancer.tunnel_arrived(balancer.new_tunnel("t", 0, 0, "k", group, now + 3.0, False), False, now)
 
-    def open_tunnel(self, host: Host, tun: Tunnel, ep: Server, number: int, now: float) -> None:
-        if ep.name not in self.groups_by_server:
-            self.balancers[host].setup_ended(tun, number, "no-connection", False, {}, now)
+    def open_tunnel(self, host: Host, tunnel: Tunnel, server: Server, number: int, now: float) -> None:
+        if server.name not in self.groups_by_server:
+            self.balancers[host].setup_ended(tunnel, number, "no-connection", False, {}, now)
             return
-        self.server_of[tun], self.host_of[tun] = ep.name, host
-        self.groups_by_server[ep.name][tun.group] += 1
-        self.balancers[host].setup_opened(tun, number, now)
+        self.server_of[tunnel], self.host_of[tunnel] = server.name, host
+        self.groups_by_server[server.name][tunnel.group] += 1
+        self.balancers[host].setup_opened(tunnel, number, now)
 
-    def end_tunnel(self, tun: Tunnel) -> None:
-        name = self.server_of.pop(tun)
-        self.groups_by_server[name][tun.group] -= 1
+    def end_tunnel(self, tunnel: Tunnel) -> None:
+        name = self.server_of.pop(tunnel)
+        self.groups_by_server[name][tunnel.group] -= 1
         self.groups_by_server[name] += Counter()
 
     def load(self, name: str) -> float:
@@ -114,29 +116,31 @@
         share = min(1.0, SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * age)
         return (sum(groups.values()) + GROUP_COST * len(groups)) / (WARM_CAPACITY * share)
 
-    def answer_probe(self, host: Host, ep: Server, now: float) -> None:
-        if ep.name in self.groups_by_server:
+    def answer_probe(self, host: Host, server: Server, now: float) -> None:
+        if server.name in self.groups_by_server:
             figures = {
-                "load": self.load(ep.name),
-                "connections": float(self.groups_by_server[ep.name].total()),
+                "load": self.load(server.name),
+                "connections": float(self.groups_by_server[server.name].total()),
             }
-            self.balancers[host].probe_ended(ep, "ok", {self.report_field: figures[self.report_field]}, now)
+            self.balancers[host].probe_ended(
+                server, "ok", {self.report_field: figures[self.report_field]}, now
+            )
         else:
-            self.balancers[host].probe_ended(ep, "no-connection", {}, now)
+            self.balancers[host].probe_ended(server, "no-connection", {}, now)
 
     def replace_servers(self, count: int, time: int) -> None:
         """So many servers of the first ones drain: their tunnels come again. As many new ones start."""
         for i in range(time * count, (time + 1) * count):
             old, new = f"s{i}", f"n{i}"
             lines = [ServerEntry(old, "leaving", 0, 0, 0, 0.0, 1.0), self.add_server(new, self.now)]
-            for bal in self.balancers.values():
-                bal.update_servers(lines, False, False, self.now)
-            for tun in [tun for tun, name in self.server_of.items() if name == old]:
-                self.end_tunnel(tun)
-                self.balancers[self.host_of[tun]].setup_ended(
-                    tun, len(tun.setups) - 1, "cancelled", True, {}, self.now
+            for balancer in self.balancers.values():
+                balancer.update_servers(lines, False, False, self.now)
+            for tunnel in [tunnel for tunnel, name in self.server_of.items() if name == old]:
+                self.end_tunnel(tunnel)
+                self.balancers[self.host_of[tunnel]].setup_ended(
+                    tunnel, len(tunnel.setups) - 1, "cancelled", True, {}, self.now
                 )
-                self.schedule_arrival(tun.group, 2 * RETRY_SECONDS)
+                self.schedule_arrival(tunnel.group, 2 * RETRY_SECONDS)
             del self.groups_by_server[old]
 
     def schedule_arrivals(self, seconds: float) -> None:
@@ -150,8 +154,8 @@
         for _ in range(round(seconds / STEP_SECONDS)):
             until = self.now + STEP_SECONDS
             self.run_until(until)
-            for bal in self.balancers.values():
-                bal.timer_due(until)
+            for balancer in self.balancers.values():
+                balancer.timer_due(until)
 
     def count_group_placements(self) -> int:
         """Groups that servers pay for."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -17,23 +17,23 @@
     def __init__(self) -> None:
         self.requests: list[tuple[Any, ...]] = []
 
-    def setup(self, tun: Tunnel, ep: Server, patience: float) -> None:
-        self.requests.append(("setup", tun, ep, patience))
+    def setup(self, tunnel: Tunnel, server: Server, timeout: float) -> None:
+        self.requests.append(("setup", tunnel, server, timeout))
 
-    def cancel(self, tun: Tunnel, number: int) -> None:
-        self.requests.append(("cancel", tun, number))
+    def cancel(self, tunnel: Tunnel, number: int) -> None:
+        self.requests.append(("cancel", tunnel, number))
 
-    def decline(self, tun: Tunnel, come_back: float) -> None:
-        self.requests.append(("decline", tun, come_back))
+    def decline(self, tunnel: Tunnel, retry_after: float) -> None:
+        self.requests.append(("decline", tunnel, retry_after))
 
-    def close_with_error(self, tun: Tunnel) -> None:
-        self.requests.append(("close_with_error", tun))
+    def close_with_error(self, tunnel: Tunnel) -> None:
+        self.requests.append(("close_with_error", tunnel))
 
-    def migrate(self, tun: Tunnel) -> None:
-        self.requests.append(("migrate", tun))
+    def migrate(self, tunnel: Tunnel) -> None:
+        self.requests.append(("migrate", tunnel))
 
-    def probe(self, ep: Server) -> None:
-        self.requests.append(("probe", ep))
+    def probe(self, server: Server) -> None:
+        self.requests.append(("probe", server))
 
     def watch_list(self) -> None:
         self.requests.append(("watch_list",))
@@ -58,24 +58,24 @@
 
 def make_balancer(loads: list[float | None], **changes: Any) -> tuple[Balancer, RecordingHost, list[Server]]:
     """A balancer at time 100 with a server for each busy figure; None: unheard."""
-    notes = RecordingHost()
-    bal = Balancer(make_site(**changes), notes, Random(1), 100.0)
-    lines = [ServerEntry(f"s{i}", "active", 0, i, i % 2, 0.0, 1.0) for i in range(len(loads))]
-    bal.update_servers(lines, True, False, 100.0)
-    servers = list(bal.servers.values())
-    for ep, load in zip(servers, loads, strict=True):
-        ep.reported_busy = load
+    host = RecordingHost()
+    balancer = Balancer(make_site(**changes), host, Random(1), 100.0)
+    entries = [ServerEntry(f"s{i}", "active", 0, i, i % 2, 0.0, 1.0) for i in range(len(loads))]
+    balancer.update_servers(entries, True, False, 100.0)
+    servers = list(balancer.servers.values())
+    for server, load in zip(servers, loads, strict=True):
+        server.reported_busy = load
         if load is not None:
-            ep.reported_at = ep.answered_at = 100.0
-    notes.requests.clear()
-    return bal, notes, servers
+            server.reported_at = server.answered_at = 100.0
+    host.requests.clear()
+    return balancer, host, servers
 
 
-def make_tunnel(bal: Balancer, left: float = 3.0, tenant: int = 0, group: str = "") -> Tunnel:
-    return bal.new_tunnel("t", 0, tenant, "k", group, 100.0 + left, False)
+def make_tunnel(balancer: Balancer, remaining: float = 3.0, tenant: int = 0, group: str = "") -> Tunnel:
+    return balancer.new_tunnel("t", 0, tenant, "k", group, 100.0 + remaining, False)
 
 
-def make_cold(bal: Balancer, ep: Server, started: float, budget: float) -> None:
+def make_cold(balancer: Balancer, server: Server, started_at: float, budget: float) -> None:
     """A server that started lately, with what is left at time 100 of the balancer's budget for it."""
-    ep.started_at, ep.warm_at = started, started + bal.warm_up_window
-    ep.slow_start_budget, ep.budget_updated_at = budget, 100.0
+    server.started_at, server.warm_at = started_at, started_at + balancer.warm_up_window
+    server.slow_start_budget, server.budget_updated_at = budget, 100.0
--- a/tests/test_filling.py
+++ b/tests/test_filling.py
@@ -41,10 +41,10 @@
     world = fleet(count, seed, count // 10, 400.0 / count)
     rng = Random(seed)
     for time in range(RESTARTED):
-        for bal in world.balancers.values():
+        for balancer in world.balancers.values():
             for _ in range(rng.random() < 0.5):
-                bal.tunnel_arrived(
-                    bal.new_tunnel("t", 0, 0, "k", "", world.now + 3.0, False), False, world.now
+                balancer.tunnel_arrived(
+                    balancer.new_tunnel("t", 0, 0, "k", "", world.now + 3.0, False), False, world.now
                 )
         world.run(0.4, 1e9)
         world.restart_balancers(count // RESTARTED, time)
@@ -59,20 +59,20 @@
     due: list[float] = []
     for n in range(count):
         began = START + (n * 7 % 10) * STEP_SECONDS  # when it was started, or heard of the server
-        bal = Balancer(
+        balancer = Balancer(
             make_site(balancer_count=count, tunnel_quota=120.0, balancer_index=n),
             RecordingHost(),
             Random(n),
             began,
         )
-        bal.update_servers(lines, True, False, began)
-        bal._update_fleet_estimates(0.1)
-        ep: Server = bal.servers["s0"]
-        bal._has_slow_start_budget(ep, START + 0.5)
-        at, rate = START + 0.5, bal.slow_start_rate * bal._available_capacity(ep, START + 1.5)
-        due.append(at + (1.0 - ep.slow_start_budget) / rate)  # about: its share grows a little meanwhile
+        balancer.update_servers(lines, True, False, began)
+        balancer._update_fleet_estimates(0.1)
+        server: Server = balancer.servers["s0"]
+        balancer._has_slow_start_budget(server, START + 0.5)
+        at, rate = START + 0.5, balancer.slow_start_rate * balancer._available_capacity(server, START + 1.5)
+        due.append(at + (1.0 - server.slow_start_budget) / rate)  # about: its share grows a little meanwhile
     due.sort()
     span = 2.0
-    even = 0.8 * 3.0 * 60 / 20 * bal._available_capacity(ep, START + 1.5) * span
+    even = 0.8 * 3.0 * 60 / 20 * balancer._available_capacity(server, START + 1.5) * span
     for begin in (START + 0.5, START + 1.0, START + 1.5):
         assert abs(sum(begin <= at < begin + span for at in due) - even) <= 2.5
