--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -30,12 +30,12 @@
 
 @pytest.mark.parametrize(("busy", "c", "takes"), [(0.49, 0.5, 0), (0.5, 0.5, 1), (0.0, 0.0, 1)])
 def test_the_first_accepts_under_c_else_the_second_must(busy: float, c: float, takes: int) -> None:
-    bal, notes, (first, second) = make_balancer([busy, busy])
-    bal.c = c
-    tun = make_tunnel(bal)
-    tun.candidates = [first, second]
-    bal._offer(tun, 100.0)
-    assert notes.requests[0][2] is (first, second)[takes]
+    balancer, host, (first, second) = make_balancer([busy, busy])
+    balancer.c = c
+    tunnel = make_tunnel(balancer)
+    tunnel.candidates = [first, second]
+    balancer._offer(tunnel, 100.0)
+    assert host.requests[0][2] is (first, second)[takes]
 
 
 @pytest.mark.parametrize(
@@ -52,31 +52,34 @@
 def test_c_moves_a_step_toward_half_acceptance(
     accepted: int, offers: int, c: float, top: float, then: float
 ) -> None:
-    bal, _, _ = make_balancer([0.5, 0.5])
-    bal.c, bal.peak_busy, bal.accepted_offers, bal.offers = c, top, accepted, offers
-    bal._adapt_threshold(101.0)
-    assert bal.c == pytest.approx(then)
-    assert (bal.offers, bal.accepted_offers) == (0, 0)
+    balancer, _, _ = make_balancer([0.5, 0.5])
+    balancer.c, balancer.peak_busy, balancer.accepted_offers, balancer.offers = c, top, accepted, offers
+    balancer._adapt_threshold(101.0)
+    assert balancer.c == pytest.approx(then)
+    assert (balancer.offers, balancer.accepted_offers) == (0, 0)
 
 
 @pytest.mark.parametrize(("offers", "moves"), [(9, False), (10, True)])
 def test_a_window_closed_by_time_needs_ten_offers(offers: int, moves: bool) -> None:
-    bal, _, _ = make_balancer([0.5, 0.5])
-    bal.c, bal.peak_busy, bal.offers = 0.5, 1.0, offers
-    bal.timer_due(110.0)
-    assert (bal.c > 0.5) is moves
-    assert bal.offers == 0
+    balancer, _, _ = make_balancer([0.5, 0.5])
+    balancer.c, balancer.peak_busy, balancer.offers = 0.5, 1.0, offers
+    balancer.timer_due(110.0)
+    assert (balancer.c > 0.5) is moves
+    assert balancer.offers == 0
 
 
 @pytest.mark.parametrize(
     ("group", "drawn"), [("", {0, 2}), ("held", {1, 3}), ("held once", {3}), ("new", {0, 2})]
 )
 def test_candidates_hold_the_group_or_are_near(group: str, drawn: set[int]) -> None:
-    bal, _, servers = make_balancer([0.1] * 4)
+    balancer, _, servers = make_balancer([0.1] * 4)
     servers[1].tunnels_by_group = {"held": 1}
     servers[3].tunnels_by_group = {"held": 2, "held once": 1}
     for _ in range(20):
-        pair = {servers.index(ep) for ep in bal._draw_candidates(make_tunnel(bal, group=group), servers)}
+        pair = {
+            servers.index(server)
+            for server in balancer._draw_candidates(make_tunnel(balancer, group=group), servers)
+        }
         assert len(pair) == 2 and drawn <= pair
 
 
@@ -86,13 +89,18 @@
 def test_a_group_has_the_same_home_at_all_balancers(balancers: int, mean: float, gathers: bool) -> None:
     # A group scattered over a large fleet is paid for at every server, and none sees the others' tunnels.
     drawn = set()
-    bal, _, servers = make_balancer([0.1] * 20, balancer_count=balancers)
-    bal.mean_load = mean
+    balancer, _, servers = make_balancer([0.1] * 20, balancer_count=balancers)
+    balancer.mean_load = mean
     for _ in range(20):
-        bal.zone = 0
-        drawn |= {ep.name for ep in bal._draw_candidates(make_tunnel(bal, group="g"), servers[::-1])}
-        bal.zone = 1
-        drawn |= {ep.name for ep in bal._draw_candidates(make_tunnel(bal, group="g"), servers)}
+        balancer.zone = 0
+        drawn |= {
+            server.name
+            for server in balancer._draw_candidates(make_tunnel(balancer, group="g"), servers[::-1])
+        }
+        balancer.zone = 1
+        drawn |= {
+            server.name for server in balancer._draw_candidates(make_tunnel(balancer, group="g"), servers)
+        }
     assert (len(drawn) <= PREFERRED_SERVERS) is gathers
 
 
@@ -105,129 +113,129 @@
     # No server may be left without balancers, and none may have far more than its part of them.
     users = dict.fromkeys((f"s{i}" for i in range(servers)), 0)
     for seed in range(balancers):
-        bal, _, eps = make_balancer([0.1] * servers, balancer_count=balancers, probe_price=price)
-        bal.subset_offset = Random(seed).random()
-        bal._choose_subset(1000.0)
-        for ep in bal.server_subset or bal.active_servers:
-            users[ep.name] += 1
-        bal.update_servers([ServerEntry("t", "active", 0, 0, 0, 0.0, 1.0)], False, False, 101.0)
-        bal.update_servers([ServerEntry(eps[0].name, "left", 0, 0, 0, 0.0, 1.0)], False, False, 101.0)
-        assert eps[0] not in bal._select_candidates(make_tunnel(bal), 101.0)
+        balancer, _, fleet = make_balancer([0.1] * servers, balancer_count=balancers, probe_price=price)
+        balancer.subset_offset = Random(seed).random()
+        balancer._choose_subset(1000.0)
+        for server in balancer.server_subset or balancer.active_servers:
+            users[server.name] += 1
+        balancer.update_servers([ServerEntry("t", "active", 0, 0, 0, 0.0, 1.0)], False, False, 101.0)
+        balancer.update_servers([ServerEntry(fleet[0].name, "left", 0, 0, 0, 0.0, 1.0)], False, False, 101.0)
+        assert fleet[0] not in balancer._select_candidates(make_tunnel(balancer), 101.0)
     assert min(users.values()) > 0.5 * balancers / parts and max(users.values()) < 1.6 * balancers / parts
 
 
 @pytest.mark.parametrize(("state", "kept"), [("active", True), ("leaving", False)])
 def test_a_part_is_kept_while_only_weights_change(state: Any, kept: bool) -> None:
     # Weights may come every second: ordering the list and leaving the part each time would be for nothing.
-    bal, _, servers = make_balancer([0.1] * 4)
-    bal.server_subset = servers[:2]
-    bal.update_servers([ServerEntry(servers[0].name, state, 0, 0, 0, 0.0, 0.5)], False, False, 100.0)
-    assert (bal.server_subset is not None) is kept and (servers[0] in bal.active_servers) is kept
+    balancer, _, servers = make_balancer([0.1] * 4)
+    balancer.server_subset = servers[:2]
+    balancer.update_servers([ServerEntry(servers[0].name, state, 0, 0, 0, 0.0, 0.5)], False, False, 100.0)
+    assert (balancer.server_subset is not None) is kept and (servers[0] in balancer.active_servers) is kept
 
 
 def test_a_part_with_no_ready_server_lets_the_others_serve() -> None:
-    bal, _, servers = make_balancer([0.1] * 4)
-    bal.server_subset = servers[:2]
-    for ep in servers[:2]:
-        bal._record_failure(ep, "error", 100.0)
-    assert bal._select_candidates(make_tunnel(bal), 100.1) == [
-        ep for ep in bal.active_servers if ep in servers[2:]
+    balancer, _, servers = make_balancer([0.1] * 4)
+    balancer.server_subset = servers[:2]
+    for server in servers[:2]:
+        balancer._record_failure(server, "error", 100.0)
+    assert balancer._select_candidates(make_tunnel(balancer), 100.1) == [
+        server for server in balancer.active_servers if server in servers[2:]
     ]
 
 
 def test_own_placements_count_in_the_unit_of_the_figure_until_the_next_report() -> None:
-    bal, _, (ep, other) = make_balancer([0.2, None])
-    bal.busy_per_tunnel = 0.03
-    bal._send_setup(make_tunnel(bal), ep, 100.0)
-    assert bal._estimated_busy(ep, 0.0) == pytest.approx(0.23)
-    bal._update_fleet_estimates(0.1)
-    assert bal._estimated_busy(other, bal.mean_busy) == pytest.approx(0.23)
-    bal.probe_ended(ep, "ok", {"load": 0.25}, 100.9)  # too early to show it
-    assert bal._estimated_busy(ep, 0.0) == pytest.approx(0.28)
-    bal.probe_ended(ep, "ok", {"load": 0.25}, 101.0)
-    assert bal._estimated_busy(ep, 0.0) == pytest.approx(0.25)
+    balancer, _, (server, other) = make_balancer([0.2, None])
+    balancer.busy_per_tunnel = 0.03
+    balancer._send_setup(make_tunnel(balancer), server, 100.0)
+    assert balancer._estimated_busy(server, 0.0) == pytest.approx(0.23)
+    balancer._update_fleet_estimates(0.1)
+    assert balancer._estimated_busy(other, balancer.mean_busy) == pytest.approx(0.23)
+    balancer.probe_ended(server, "ok", {"load": 0.25}, 100.9)  # too early to show it
+    assert balancer._estimated_busy(server, 0.0) == pytest.approx(0.28)
+    balancer.probe_ended(server, "ok", {"load": 0.25}, 101.0)
+    assert balancer._estimated_busy(server, 0.0) == pytest.approx(0.25)
 
 
 @pytest.mark.parametrize(("ages", "asked"), [((9, 9), 0), ((0, 9), 1), ((0, 0), None)])
 def test_a_candidate_with_an_old_report_is_asked_before_the_offer(ages: Any, asked: int | None) -> None:
     # With few tunnels a balancer, probes by the clock can't keep the reports of a large fleet fresh.
-    bal, notes, servers = make_balancer([0.5, 0.5])
-    bal.c, tun = 0.2, make_tunnel(bal)
-    tun.candidates = servers
-    for ep, age in zip(servers, ages, strict=True):
-        ep.reported_at = ep.answered_at = 100.0 - age
-    bal._offer(tun, 100.0)
-    assert notes.request_names() == (["setup"] if asked is None else ["probe"])
+    balancer, host, servers = make_balancer([0.5, 0.5])
+    balancer.c, tunnel = 0.2, make_tunnel(balancer)
+    tunnel.candidates = servers
+    for server, age in zip(servers, ages, strict=True):
+        server.reported_at = server.answered_at = 100.0 - age
+    balancer._offer(tunnel, 100.0)
+    assert host.request_names() == (["setup"] if asked is None else ["probe"])
     if asked is not None:
-        assert notes.requests[0][1] is servers[asked]
-        for ep in servers:
-            bal.probe_ended(ep, "ok", {"load": 0.5}, 100.1)
-        assert tun.setups[0].server is servers[1]
+        assert host.requests[0][1] is servers[asked]
+        for server in servers:
+            balancer.probe_ended(server, "ok", {"load": 0.5}, 100.1)
+        assert tunnel.setups[0].server is servers[1]
 
 
 @pytest.mark.parametrize(("budget", "asked"), [(1.0, "setup"), (0.0, "decline")])
 def test_no_time_to_wait_for_an_answer_keeps_the_cold_budget(budget: float, asked: str) -> None:
-    bal, notes, (ep, _) = make_balancer([0.1, 0.1])
-    make_cold(bal, ep, 99.0, budget)
-    tun = make_tunnel(bal, left=0.2)
-    tun.candidates = [ep]
-    tun.transition_to(State.PROBING)
-    bal._enqueue(tun, 100.0)
-    bal._serve_queue(100.1)
-    assert notes.request_names() == [asked]
+    balancer, host, (server, _) = make_balancer([0.1, 0.1])
+    make_cold(balancer, server, 99.0, budget)
+    tunnel = make_tunnel(balancer, remaining=0.2)
+    tunnel.candidates = [server]
+    tunnel.transition_to(State.PROBING)
+    balancer._enqueue(tunnel, 100.0)
+    balancer._serve_queue(100.1)
+    assert host.request_names() == [asked]
 
 
 @pytest.mark.parametrize(("left", "asked"), [(0.07, "setup"), (0.25, "setup"), (0.26, "probe")])
 def test_a_tunnel_without_time_for_an_answer_does_not_wait_for_one(left: float, asked: str) -> None:
     # Rule 1, found by a hunt: a tunnel whose first setup had failed 70 ms before its time was out asked a
     # candidate for its load, and was looked at again only after that.
-    bal, notes, (ep, _) = make_balancer([0.1, 0.1])
-    tun = make_tunnel(bal, left=left + bal.answer_margin)
-    tun.candidates, ep.answered_at = [ep], 0.0
-    bal._offer(tun, 100.0)
-    assert notes.request_names() == [asked]
+    balancer, host, (server, _) = make_balancer([0.1, 0.1])
+    tunnel = make_tunnel(balancer, remaining=left + balancer.answer_margin)
+    tunnel.candidates, server.answered_at = [server], 0.0
+    balancer._offer(tunnel, 100.0)
+    assert host.request_names() == [asked]
 
 
 @pytest.mark.parametrize(("balancers", "probes"), [(2, 20), (200, 0)])
 def test_many_balancers_do_not_all_probe_the_whole_fleet(balancers: int, probes: int) -> None:
     # With 200 balancers at 50 servers probes cost 0.6 of all credit.
-    bal, notes, _ = make_balancer([None] * 20, balancer_count=balancers)
-    bal.timer_due(100.2)
-    assert notes.request_names() == ["probe"] * probes
+    balancer, host, _ = make_balancer([None] * 20, balancer_count=balancers)
+    balancer.timer_due(100.2)
+    assert host.request_names() == ["probe"] * probes
 
 
 @pytest.mark.parametrize(("loads", "asked"), [([], []), ([0.1], ["setup"])])
 def test_none_and_one_ready_server(loads: list[float | None], asked: list[str]) -> None:
-    bal, notes, _ = make_balancer(loads)
-    tun = make_tunnel(bal)
-    bal.tunnel_arrived(tun, False, 100.0)
-    assert notes.request_names() == asked
-    assert tun.state is (State.SETTING_UP if asked else State.QUEUED)
+    balancer, host, _ = make_balancer(loads)
+    tunnel = make_tunnel(balancer)
+    balancer.tunnel_arrived(tunnel, False, 100.0)
+    assert host.request_names() == asked
+    assert tunnel.state is (State.SETTING_UP if asked else State.QUEUED)
 
 
 def test_given_up_is_answered_with_a_time_to_come_back() -> None:
-    bal, notes, servers = make_balancer([1.0, 1.0])
-    for ep in servers:
-        ep.reported_load = ep.estimated_load = 1.0
-    tun = make_tunnel(bal)
-    bal.tunnel_arrived(tun, False, 100.0)
-    assert tun.state is State.QUEUED
-    bal.timer_due(101.5)
-    assert notes.request_names() == ["probe", "probe", "decline"]
-    assert notes.requests[-1][2] == 1.0
+    balancer, host, servers = make_balancer([1.0, 1.0])
+    for server in servers:
+        server.reported_load = server.estimated_load = 1.0
+    tunnel = make_tunnel(balancer)
+    balancer.tunnel_arrived(tunnel, False, 100.0)
+    assert tunnel.state is State.QUEUED
+    balancer.timer_due(101.5)
+    assert host.request_names() == ["probe", "probe", "decline"]
+    assert host.requests[-1][2] == 1.0
 
 
 @pytest.mark.parametrize(
     ("load", "moved"), [(MAX_LOAD_LIMIT + MIGRATION_MARGIN - 0.01, 0), (2 * MAX_LOAD_LIMIT, 10)]
 )
 def test_the_excess_of_an_overdriven_server_is_moved_off_once(load: float, moved: int) -> None:
-    bal, notes, (ep, _) = make_balancer([0.5, 0.5])
+    balancer, host, (server, _) = make_balancer([0.5, 0.5])
     for _ in range(20):
-        bal.tunnel_inherited(make_tunnel(bal), ep, 100.0)
-    bal.random = lambda: 1.0
-    bal.probe_ended(ep, "ok", {"load": load}, 110.0)
-    bal.probe_ended(ep, "ok", {"load": load}, 110.1)  # it may not show the move yet
-    assert notes.request_names() == ["migrate"] * moved and len(ep.tunnels) == 20 - moved
+        balancer.tunnel_inherited(make_tunnel(balancer), server, 100.0)
+    balancer.random = lambda: 1.0
+    balancer.probe_ended(server, "ok", {"load": load}, 110.0)
+    balancer.probe_ended(server, "ok", {"load": load}, 110.1)  # it may not show the move yet
+    assert host.request_names() == ["migrate"] * moved and len(server.tunnels) == 20 - moved
 
 
 @pytest.mark.parametrize(
@@ -236,109 +244,111 @@
 )
 def test_moves_go_down_to_what_a_crowded_fleet_holds(loads: list[float | None], level: float) -> None:
     # Where most servers lie over the limit, moving down to it sends clients round and round.
-    bal, _, servers = make_balancer(loads)
-    for ep, load in zip(servers, loads, strict=True):
-        ep.reported_load = load or 0.0
-    bal._update_fleet_estimates(0.1)
-    assert bal.migration_target == pytest.approx(level)
+    balancer, _, servers = make_balancer(loads)
+    for server, load in zip(servers, loads, strict=True):
+        server.reported_load = load or 0.0
+    balancer._update_fleet_estimates(0.1)
+    assert balancer.migration_target == pytest.approx(level)
 
 
 @pytest.mark.parametrize("crowded", [False, True])
 def test_a_server_asked_for_more_than_it_can_do_gives_up_whole_groups(crowded: bool) -> None:
     # Guards against one that stays overdriven by what groups cost after its heaviest tunnels have gone.
-    bal, notes, (ep,) = make_balancer([2 * MAX_LOAD_LIMIT])
-    bal.migration_target = MAX_MIGRATION_TARGET if crowded else MAX_LOAD_LIMIT
+    balancer, host, (server,) = make_balancer([2 * MAX_LOAD_LIMIT])
+    balancer.migration_target = MAX_MIGRATION_TARGET if crowded else MAX_LOAD_LIMIT
     for i in range(12):
-        tun = make_tunnel(bal, group=f"g{i % 4}")
-        bal.tunnel_inherited(tun, ep, 100.0)
-        tun.load = 10.0 if i < 2 else 0.1
+        tunnel = make_tunnel(balancer, group=f"g{i % 4}")
+        balancer.tunnel_inherited(tunnel, server, 100.0)
+        tunnel.load = 10.0 if i < 2 else 0.1
     away = list(
-        dict.fromkeys(t.group for t in sorted(ep.tunnels, key=lambda t: Balancer._affinity_distance(t, ep)))
+        dict.fromkeys(
+            t.group for t in sorted(server.tunnels, key=lambda t: Balancer._affinity_distance(t, server))
+        )
     )
-    bal.probe_ended(ep, "ok", {"load": 2 * MAX_LOAD_LIMIT}, 110.0)
-    left = {t.group for t in ep.tunnels}
+    balancer.probe_ended(server, "ok", {"load": 2 * MAX_LOAD_LIMIT}, 110.0)
+    left = {t.group for t in server.tunnels}
     if crowded:  # nowhere else is room for a group
-        assert len(left) == 4 and notes.request_names().count("migrate") < 3
+        assert len(left) == 4 and host.request_names().count("migrate") < 3
         return
-    assert "migrate" in notes.request_names() and 0 < len(left) < 4
+    assert "migrate" in host.request_names() and 0 < len(left) < 4
     assert left == set(away[: len(left)])  # the same ones leave it at all balancers
-    assert all(sum(t.group == group for t in ep.tunnels) == 3 for group in left)
+    assert all(sum(t.group == group for t in server.tunnels) == 3 for group in left)
 
 
 @pytest.mark.parametrize(("waits", "full"), [(False, MIN_LOAD_LIMIT), (True, MAX_LOAD_LIMIT)])
 def test_the_limit_is_its_top_while_a_tunnel_waits(waits: bool, full: float) -> None:
     # Guards against tunnels that are declined though no server is near its top.
-    bal, _, servers = make_balancer([0.2, 0.2])
-    for ep in servers:
-        ep.reported_load, ep.probe_due = 0.2, inf
-        ep.estimated_load = 0.9
+    balancer, _, servers = make_balancer([0.2, 0.2])
+    for server in servers:
+        server.reported_load, server.probe_due = 0.2, inf
+        server.estimated_load = 0.9
     if waits:
-        bal._enqueue(make_tunnel(bal), 100.0)
-    bal._update_fleet_estimates(0.5)
-    assert bal.load_limit == full
+        balancer._enqueue(make_tunnel(balancer), 100.0)
+    balancer._update_fleet_estimates(0.5)
+    assert balancer.load_limit == full
 
 
 def test_a_full_server_is_asked_again_while_a_tunnel_waits() -> None:
     # Guards against servers that have long had room again and are not asked before their turn by the clock.
-    bal, notes, servers = make_balancer([0.9, 0.2, 0.9], balancer_count=3)
-    for ep in servers:
-        ep.probe_due, ep.estimated_load = inf, ep.reported_busy or 0.0
-    bal.probe_credit = 1.0
-    bal._probe_servers(110.0)
-    assert notes.request_names() == []
-    bal._enqueue(make_tunnel(bal), 110.0)
-    bal._probe_servers(110.0)
-    (asked,) = notes.requests  # one at a time, as probes cost
+    balancer, host, servers = make_balancer([0.9, 0.2, 0.9], balancer_count=3)
+    for server in servers:
+        server.probe_due, server.estimated_load = inf, server.reported_busy or 0.0
+    balancer.probe_credit = 1.0
+    balancer._probe_servers(110.0)
+    assert host.request_names() == []
+    balancer._enqueue(make_tunnel(balancer), 110.0)
+    balancer._probe_servers(110.0)
+    (asked,) = host.requests  # one at a time, as probes cost
     assert asked[1] in (servers[0], servers[2])
 
 
 def test_what_a_tunnel_adds_starts_from_the_shares_and_rises_slowly() -> None:
     # Guards one that has just started: the others hold many tunnels where it holds few.
-    bal, _, servers = make_balancer([0.5, 0.5], tunnel_quota=100.0)
-    assert bal.load_per_tunnel == pytest.approx(2 / 100)
-    for ep in servers:
-        ep.reported_load = 0.5
+    balancer, _, servers = make_balancer([0.5, 0.5], tunnel_quota=100.0)
+    assert balancer.load_per_tunnel == pytest.approx(2 / 100)
+    for server in servers:
+        server.reported_load = 0.5
         for _ in range(2):
-            bal.tunnel_inherited(make_tunnel(bal), ep, 100.0)
-    bal._update_fleet_estimates(0.3)  # 1.0 over four tunnels here and as many at the other balancer
-    assert bal.load_per_tunnel == pytest.approx(0.02 + (0.125 - 0.02) * 0.3 / HISTORY_SECONDS)
+            balancer.tunnel_inherited(make_tunnel(balancer), server, 100.0)
+    balancer._update_fleet_estimates(0.3)  # 1.0 over four tunnels here and as many at the other balancer
+    assert balancer.load_per_tunnel == pytest.approx(0.02 + (0.125 - 0.02) * 0.3 / HISTORY_SECONDS)
 
 
 def test_what_has_ended_or_moved_off_makes_no_room_before_a_report_shows_it() -> None:
     # One tunnel gone is not the mean tunnel's load gone: its group stays, and others were let in for it.
-    bal, _, (ep, _) = make_balancer([0.9, 0.5])
-    ep.reported_load = ep.estimated_load = 0.9
-    tun = make_tunnel(bal)
-    bal.tunnel_inherited(tun, ep, 99.0)
-    bal.setup_ended(tun, 0, "ok", True, {}, 100.0)
-    assert not bal._select_ready(make_tunnel(bal), [ep], 100.0)
+    balancer, _, (server, _) = make_balancer([0.9, 0.5])
+    server.reported_load = server.estimated_load = 0.9
+    tunnel = make_tunnel(balancer)
+    balancer.tunnel_inherited(tunnel, server, 99.0)
+    balancer.setup_ended(tunnel, 0, "ok", True, {}, 100.0)
+    assert not balancer._select_ready(make_tunnel(balancer), [server], 100.0)
 
 
 @pytest.mark.parametrize(("heard", "room"), [(None, True), (0.3, True), (0.9, False)])
 def test_an_unheard_server_has_room_as_the_others_have(heard: float | None, room: bool) -> None:
-    bal, _, (ep, other) = make_balancer([None, heard], balancer_count=17)
+    balancer, _, (server, other) = make_balancer([None, heard], balancer_count=17)
     other.reported_load = heard or 0.0
-    bal.probe_credit = 0.0  # else it would be asked
-    bal._update_fleet_estimates(0.1)
-    bal._send_setup(make_tunnel(bal), other, 100.0)
-    assert bool(bal._select_ready(make_tunnel(bal), [ep], 100.0)) is room
+    balancer.probe_credit = 0.0  # else it would be asked
+    balancer._update_fleet_estimates(0.1)
+    balancer._send_setup(make_tunnel(balancer), other, 100.0)
+    assert bool(balancer._select_ready(make_tunnel(balancer), [server], 100.0)) is room
 
 
 def test_a_server_that_all_balancers_fill_between_two_reports_is_not_ready() -> None:
-    bal, _, (ep, _) = make_balancer([0.5, 0.5], balancer_count=4)
-    ep.reported_load, bal.load_per_tunnel = MAX_LOAD_LIMIT - 0.35, 0.06
-    bal._send_setup(make_tunnel(bal), ep, 100.0)
-    assert bal._select_ready(make_tunnel(bal), [ep], 100.0)
-    bal._send_setup(make_tunnel(bal), ep, 100.0)
-    assert not bal._select_ready(make_tunnel(bal), [ep], 100.0)
+    balancer, _, (server, _) = make_balancer([0.5, 0.5], balancer_count=4)
+    server.reported_load, balancer.load_per_tunnel = MAX_LOAD_LIMIT - 0.35, 0.06
+    balancer._send_setup(make_tunnel(balancer), server, 100.0)
+    assert balancer._select_ready(make_tunnel(balancer), [server], 100.0)
+    balancer._send_setup(make_tunnel(balancer), server, 100.0)
+    assert not balancer._select_ready(make_tunnel(balancer), [server], 100.0)
 
 
 def test_a_held_tunnel_is_answered_before_the_client_timeout() -> None:
-    bal, notes, _ = make_balancer([])
-    tun = make_tunnel(bal, left=0.2)
-    bal.tunnel_arrived(tun, False, 100.0)
-    bal.timer_due(100.125)
-    assert notes.request_names() == ["decline"]
+    balancer, host, _ = make_balancer([])
+    tunnel = make_tunnel(balancer, remaining=0.2)
+    balancer.tunnel_arrived(tunnel, False, 100.0)
+    balancer.timer_due(100.125)
+    assert host.request_names() == ["decline"]
 
 
 ONCE = Profile("once-only", "all", 5.0, 0.5, 3.0, 1.0)
@@ -364,38 +374,38 @@
     ],
 )
 def test_another_setup_has_no_second_effect(profile: Profile, ending: Any, asked: str) -> None:
-    bal, notes, servers = make_balancer([0.1] * 3, profiles=(profile,))
-    tun = make_tunnel(bal)
-    bal._send_setup(tun, servers[0], 99.0)
-    notes.requests.clear()
-    bal.setup_ended(tun, 0, ending, False, {}, 100.0)
-    assert notes.request_names() == [asked]
+    balancer, host, servers = make_balancer([0.1] * 3, profiles=(profile,))
+    tunnel = make_tunnel(balancer)
+    balancer._send_setup(tunnel, servers[0], 99.0)
+    host.requests.clear()
+    balancer.setup_ended(tunnel, 0, ending, False, {}, 100.0)
+    assert host.request_names() == [asked]
     if profile is ZONE:
-        assert notes.requests[0][2].zone == servers[0].zone
+        assert host.requests[0][2].zone == servers[0].zone
 
 
 @pytest.mark.parametrize(
     ("profile", "may"), [(ANY, True), (ONCE, False), (ZONE, False), (CELL, False), (ALL, True)]
 )
 def test_declined_only_where_another_try_is_harmless(profile: Profile, may: bool) -> None:
-    bal, _, servers = make_balancer([0.1], profiles=(profile,))
-    tun = make_tunnel(bal)
-    assert bal.may_decline(tun)
-    tun.setups.append(Setup(servers[0], 100.0))
-    assert bal.may_decline(tun) is may
+    balancer, _, servers = make_balancer([0.1], profiles=(profile,))
+    tunnel = make_tunnel(balancer)
+    assert balancer.may_decline(tunnel)
+    tunnel.setups.append(Setup(servers[0], 100.0))
+    assert balancer.may_decline(tunnel) is may
 
 
 @pytest.mark.parametrize("state", ["leaving", "left"])
 def test_nothing_new_to_a_server_told_to_drain(state: Any) -> None:
-    bal, _, (ep, _) = make_balancer([0.1, 0.1])
-    bal.update_servers([ServerEntry(ep.name, state, 0, 0, 0, 0.0, 1.0)], False, False, 100.0)
-    assert ep not in bal._select_candidates(make_tunnel(bal), 100.0)
+    balancer, _, (server, _) = make_balancer([0.1, 0.1])
+    balancer.update_servers([ServerEntry(server.name, state, 0, 0, 0, 0.0, 1.0)], False, False, 100.0)
+    assert server not in balancer._select_candidates(make_tunnel(balancer), 100.0)
 
 
 def test_a_server_missing_from_a_whole_list_is_gone() -> None:
-    bal, _, (ep, other) = make_balancer([0.1, 0.1])
-    bal.update_servers([ServerEntry(other.name, "active", 0, 0, 0, 0.0, 1.0)], True, False, 100.0)
-    assert bal._select_candidates(make_tunnel(bal), 100.0) == [other] and not ep.active
+    balancer, _, (server, other) = make_balancer([0.1, 0.1])
+    balancer.update_servers([ServerEntry(other.name, "active", 0, 0, 0, 0.0, 1.0)], True, False, 100.0)
+    assert balancer._select_candidates(make_tunnel(balancer), 100.0) == [other] and not server.active
 
 
 @pytest.mark.parametrize("whole", [False, True])
@@ -405,49 +415,49 @@
 def test_where_draining_binds_alone_a_server_that_is_gone_stays_in_doubt(
     alone: bool, first: Any, stays: bool, whole: bool
 ) -> None:
-    bal, _, (ep, other) = make_balancer([0.1, 0.1], only_draining_excludes=alone)
-    bal.update_servers([ServerEntry(ep.name, first, 0, 0, 0, 0.0, 1.0)], False, False, 100.0)
-    name, state = (other.name, "active") if whole else (ep.name, "left")
-    bal.update_servers([ServerEntry(name, state, 0, 0, 0, 0.0, 1.0)], whole, False, 101.0)  # type: ignore[arg-type]
-    assert (ep in bal.active_servers) is stays and ep.stale is stays
-    assert bal._select_candidates(make_tunnel(bal), 101.0) == [other]
-    bal._record_failure(other, "error", 101.0)
+    balancer, _, (server, other) = make_balancer([0.1, 0.1], only_draining_excludes=alone)
+    balancer.update_servers([ServerEntry(server.name, first, 0, 0, 0, 0.0, 1.0)], False, False, 100.0)
+    name, state = (other.name, "active") if whole else (server.name, "left")
+    balancer.update_servers([ServerEntry(name, state, 0, 0, 0, 0.0, 1.0)], whole, False, 101.0)  # type: ignore[arg-type]
+    assert (server in balancer.active_servers) is stays and server.stale is stays
+    assert balancer._select_candidates(make_tunnel(balancer), 101.0) == [other]
+    balancer._record_failure(other, "error", 101.0)
     other.pending_setups = 1
-    assert bal._select_candidates(make_tunnel(bal), 101.0) == [ep] * stays
-    bal.probe_ended(ep, "ok", {"load": 0.1}, 102.0)
-    assert (ep in bal._select_candidates(make_tunnel(bal), 102.0)) is stays
+    assert balancer._select_candidates(make_tunnel(balancer), 101.0) == [server] * stays
+    balancer.probe_ended(server, "ok", {"load": 0.1}, 102.0)
+    assert (server in balancer._select_candidates(make_tunnel(balancer), 102.0)) is stays
 
 
 def test_the_watch_is_asked_again_after_a_failure_later_each_time() -> None:
-    bal, notes, _ = make_balancer([0.1], list_is_polled=True, may_probe=False)
+    balancer, host, _ = make_balancer([0.1], list_is_polled=True, may_probe=False)
     waits = []
     for _ in range(6):
-        bal.list_request_failed(100.0)
-        waits.append(bal.list_request_due - 100.0)
-    assert waits[-1] > waits[0] > 0 and waits[-1] <= 1.5 * bal.list_poll_interval
-    bal.timer_due(bal.list_request_due)
-    assert notes.request_names() == ["watch_list"]
+        balancer.list_request_failed(100.0)
+        waits.append(balancer.list_request_due - 100.0)
+    assert waits[-1] > waits[0] > 0 and waits[-1] <= 1.5 * balancer.list_poll_interval
+    balancer.timer_due(balancer.list_request_due)
+    assert host.request_names() == ["watch_list"]
 
 
 @pytest.mark.parametrize(("budget", "age", "ready"), [(0.0, 0.1, False), (1.0, 0.1, True), (0.0, 20.0, True)])
 def test_a_cold_server_is_ready_within_its_budget(budget: float, age: float, ready: bool) -> None:
-    bal, _, (ep, _) = make_balancer([0.1, 0.1])
-    make_cold(bal, ep, 100.0 - age, budget)
-    assert bool(bal._select_ready(make_tunnel(bal), [ep], 100.0)) is ready
+    balancer, _, (server, _) = make_balancer([0.1, 0.1])
+    make_cold(balancer, server, 100.0 - age, budget)
+    assert bool(balancer._select_ready(make_tunnel(balancer), [server], 100.0)) is ready
 
 
 @pytest.mark.parametrize("load", [0.0, 0.5])
 def test_a_cold_servers_budget_follows_what_lasts_not_what_arrives(load: float) -> None:
-    bal, _, servers = make_balancer([load, load])
-    for ep in servers:
-        ep.reported_load = load
+    balancer, _, servers = make_balancer([load, load])
+    for server in servers:
+        server.reported_load = load
         for _ in range(3):
-            bal.tunnel_inherited(make_tunnel(bal), ep, 99.0)
-    bal._update_fleet_estimates(0.1)
-    before = bal.slow_start_rate
-    bal.arrivals, bal.arrival_rate = 500, 500.0  # a storm of clients that come again
-    bal._update_fleet_estimates(0.1)
-    assert 0.0 < bal.slow_start_rate <= before
+            balancer.tunnel_inherited(make_tunnel(balancer), server, 99.0)
+    balancer._update_fleet_estimates(0.1)
+    before = balancer.slow_start_rate
+    balancer.arrivals, balancer.arrival_rate = 500, 500.0  # a storm of clients that come again
+    balancer._update_fleet_estimates(0.1)
+    assert 0.0 < balancer.slow_start_rate <= before
 
 
 @pytest.mark.parametrize(("balancers", "pause"), [(1, 5.0), (18, 5.0), (248, 0.1), (248, 5.0), (248, 15.0)])
@@ -455,19 +465,24 @@
     # Each may have kept a whole tunnel meanwhile, and a mass arrival would send them all at once.
     sent, limit = 0, 0.0
     for seed in range(balancers):
-        bal, _, (ep, _) = make_balancer([0.1, 0.1], balancer_count=balancers)
-        bal.slow_start_rate, bal.load_per_tunnel = (
+        balancer, _, (server, _) = make_balancer([0.1, 0.1], balancer_count=balancers)
+        balancer.slow_start_rate, balancer.load_per_tunnel = (
             2.0 / balancers,
             0.0,
         )  # all balancers together, were it warm
-        make_cold(bal, ep, 100.0, Random(seed).random())
+        make_cold(balancer, server, 100.0, Random(seed).random())
         for step in range(21):  # arrivals all the while, after the pause, for one tip span
             now = 100.0 + pause + step / 10
-            while bal._select_ready(make_tunnel(bal), [ep], now):
-                bal._send_setup(make_tunnel(bal), ep, now)
+            while balancer._select_ready(make_tunnel(balancer), [server], now):
+                balancer._send_setup(make_tunnel(balancer), server, now)
                 sent += 1
-        share = bal.slow_start_share + (1 - bal.slow_start_share) * (pause + 1.0) / bal.warm_up_window
-        limit = bal.slow_start_rate * balancers / SLOW_START_SAFETY_FACTOR * share * bal.overload_window
+        share = (
+            balancer.slow_start_share
+            + (1 - balancer.slow_start_share) * (pause + 1.0) / balancer.warm_up_window
+        )
+        limit = (
+            balancer.slow_start_rate * balancers / SLOW_START_SAFETY_FACTOR * share * balancer.overload_window
+        )
     assert sent <= limit + 1.5 * limit**0.5
 
 
@@ -476,114 +491,118 @@
     # Each sees little of it, and what many leave unspent is lost: clients were declined beside idle servers.
     fill, sent = 40, []
     for seed in range(balancers):
-        bal, _, (ep, warm) = make_balancer(
+        balancer, _, (server, warm) = make_balancer(
             [0.0, 0.7], balancer_count=balancers, tunnel_quota=2.0 * fill, sizes_listed=True
         )
-        line = ServerEntry(ep.name, "active", 0, 0, 0, 100.0, size)
-        bal.update_servers(
+        line = ServerEntry(server.name, "active", 0, 0, 0, 100.0, size)
+        balancer.update_servers(
             [line, ServerEntry(warm.name, "active", 0, 0, 0, 0.0, 2.0 - size)], True, False, 100.0
         )
-        ep.slow_start_budget = Random(seed).random()
-        bal._update_fleet_estimates(0.3)
-        for step in range(int(bal.warm_up_window * 10)):
+        server.slow_start_budget = Random(seed).random()
+        balancer._update_fleet_estimates(0.3)
+        for step in range(int(balancer.warm_up_window * 10)):
             now = 100.0 + step / 10
-            if bal._select_ready(make_tunnel(bal), [ep], now):
-                bal._send_setup(make_tunnel(bal), ep, now)
-                ep.unreported_placements.clear()
-                bal._update_load_estimate(ep)
+            if balancer._select_ready(make_tunnel(balancer), [server], now):
+                balancer._send_setup(make_tunnel(balancer), server, now)
+                server.unreported_placements.clear()
+                balancer._update_load_estimate(server)
                 sent.append(now)
         share = [
-            bal.slow_start_share + (1 - bal.slow_start_share) * step / 10 / bal.warm_up_window
+            balancer.slow_start_share + (1 - balancer.slow_start_share) * step / 10 / balancer.warm_up_window
             for step in range(200)
         ]
     assert len(sent) >= 1.1 * fill * size
     for step, part in enumerate(share):
         at = 100.0 + step / 10
-        limit = bal.overload_factor * part * fill * size / bal.warm_up_window * bal.overload_window
-        assert sum(at <= one < at + bal.overload_window for one in sent) <= 1.2 * limit + 1.5 * limit**0.5
+        limit = (
+            balancer.overload_factor * part * fill * size / balancer.warm_up_window * balancer.overload_window
+        )
+        assert (
+            sum(at <= one < at + balancer.overload_window for one in sent) <= 1.2 * limit + 1.5 * limit**0.5
+        )
 
 
 def test_a_cold_server_pays_for_each_tunnel() -> None:
-    bal, _, (ep, _) = make_balancer([0.1, 0.1])
-    make_cold(bal, ep, 99.0, 1.5)
-    bal._send_setup(make_tunnel(bal), ep, 100.0)
-    assert not bal._select_ready(make_tunnel(bal), [ep], 100.0)
+    balancer, _, (server, _) = make_balancer([0.1, 0.1])
+    make_cold(balancer, server, 99.0, 1.5)
+    balancer._send_setup(make_tunnel(balancer), server, 100.0)
+    assert not balancer._select_ready(make_tunnel(balancer), [server], 100.0)
 
 
 def test_a_quick_error_takes_a_server_out_of_the_draw_for_a_while() -> None:
     # It holds next to nothing, stays under c and would accept most first offers.
-    bal, _, servers = make_balancer([0.0, 0.5, 0.5])
-    bal._record_failure(servers[0], "error", 100.0)
-    assert servers[0] not in bal._select_candidates(make_tunnel(bal), 100.1)
-    assert servers[0] in bal._select_candidates(make_tunnel(bal), 200.0)
+    balancer, _, servers = make_balancer([0.0, 0.5, 0.5])
+    balancer._record_failure(servers[0], "error", 100.0)
+    assert servers[0] not in balancer._select_candidates(make_tunnel(balancer), 100.1)
+    assert servers[0] in balancer._select_candidates(make_tunnel(balancer), 200.0)
 
 
 @pytest.mark.parametrize(("delay", "slow"), [(0.25, False), (0.26, True)])
 def test_slow_messages_suspend_and_relieve_a_server(delay: float, slow: bool) -> None:
     # The way to it, a stuck report, a noisy neighbour: own messages are evidence that its report is not.
-    bal, notes, (ep, other) = make_balancer([0.1, 0.1])
+    balancer, host, (server, other) = make_balancer([0.1, 0.1])
     for _ in range(20):
-        bal.tunnel_inherited(make_tunnel(bal), ep, 99.0)
-    ep.probe_due = other.probe_due = 200.0
-    bal.record_delay(next(iter(ep.tunnels)), delay, 100.5)
-    moved = notes.request_names().count("migrate")
+        balancer.tunnel_inherited(make_tunnel(balancer), server, 99.0)
+    server.probe_due = other.probe_due = 200.0
+    balancer.record_delay(next(iter(server.tunnels)), delay, 100.5)
+    moved = host.request_names().count("migrate")
     assert (6 < moved < 14) if slow else not moved
-    assert (ep in bal._select_candidates(make_tunnel(bal), 100.5)) is not slow
-    assert (ep.probe_due < 200.0) is slow  # asked once the suspension is nearly over
+    assert (server in balancer._select_candidates(make_tunnel(balancer), 100.5)) is not slow
+    assert (server.probe_due < 200.0) is slow  # asked once the suspension is nearly over
 
 
 @pytest.mark.parametrize(("then", "again"), [(0.5, True), (0.4, False)])
 def test_a_server_that_works_its_backlog_off_keeps_the_rest(then: float, again: bool) -> None:
-    bal, notes, (ep, _) = make_balancer([0.1, 0.1])
+    balancer, host, (server, _) = make_balancer([0.1, 0.1])
     for _ in range(20):
-        bal.tunnel_inherited(make_tunnel(bal), ep, 99.0)
-    bal.record_delay(next(iter(ep.tunnels)), 0.5, 100.0)
-    moved = len(notes.requests)
-    bal.record_delay(next(iter(ep.tunnels)), then, 101.1)
-    assert (len(notes.requests) > moved) is again
+        balancer.tunnel_inherited(make_tunnel(balancer), server, 99.0)
+    balancer.record_delay(next(iter(server.tunnels)), 0.5, 100.0)
+    moved = len(host.requests)
+    balancer.record_delay(next(iter(server.tunnels)), then, 101.1)
+    assert (len(host.requests) > moved) is again
 
 
 def test_quick_messages_lift_the_suspension_for_slow_ones_alone() -> None:
-    bal, _, (slow, erred) = make_balancer([0.1, 0.1])
-    for ep in [slow, erred] * 20:
-        bal.tunnel_inherited(make_tunnel(bal), ep, 99.0)
-    bal._record_failure(erred, "error", 100.0)
-    bal.record_delay(next(iter(slow.tunnels)), 0.3, 100.0)
+    balancer, _, (slow, erred) = make_balancer([0.1, 0.1])
+    for server in [slow, erred] * 20:
+        balancer.tunnel_inherited(make_tunnel(balancer), server, 99.0)
+    balancer._record_failure(erred, "error", 100.0)
+    balancer.record_delay(next(iter(slow.tunnels)), 0.3, 100.0)
     assert slow.ejected_until > 101.0
-    for ep in (slow, erred):
-        bal.record_delay(next(iter(ep.tunnels)), 0.04, 101.0)
+    for server in (slow, erred):
+        balancer.record_delay(next(iter(server.tunnels)), 0.04, 101.0)
     assert erred.ejected_until > 101.0 >= slow.ejected_until
 
 
 def test_a_worse_report_right_after_a_move_off_moves_the_rest_of_the_excess() -> None:
-    bal, _, (ep, _) = make_balancer([0.1, 0.1])
-    bal.migration_target = MAX_LOAD_LIMIT
+    balancer, _, (server, _) = make_balancer([0.1, 0.1])
+    balancer.migration_target = MAX_LOAD_LIMIT
     for _ in range(100):
-        bal.tunnel_inherited(make_tunnel(bal), ep, 99.0)
+        balancer.tunnel_inherited(make_tunnel(balancer), server, 99.0)
     for load, left in ((1.3, 50), (1.3, 50), (2.6, 25)):
-        bal.probe_ended(ep, "ok", {"load": load}, 100.0)
-        assert len(ep.tunnels) == pytest.approx(left, abs=3)
+        balancer.probe_ended(server, "ok", {"load": load}, 100.0)
+        assert len(server.tunnels) == pytest.approx(left, abs=3)
 
 
 def test_servers_that_all_look_bad_are_still_drawn() -> None:
-    bal, _, servers = make_balancer([0.5] * 4)
-    for ep in servers:
-        bal._record_failure(ep, "error", 100.0)
-    bal._send_setup(make_tunnel(bal), servers[0], 102.0)
-    assert bal._select_candidates(make_tunnel(bal), 102.0) == servers[1:]
+    balancer, _, servers = make_balancer([0.5] * 4)
+    for server in servers:
+        balancer._record_failure(server, "error", 100.0)
+    balancer._send_setup(make_tunnel(balancer), servers[0], 102.0)
+    assert balancer._select_candidates(make_tunnel(balancer), 102.0) == servers[1:]
 
 
 @pytest.mark.parametrize("ending", ["error", "timeout", "no-connection", "full"])
 def test_a_suspended_server_is_not_tried_again_right_after_it_failed(ending: Any) -> None:
     # Hundreds of setups went to servers that refused each at once, one after another.
-    bal, notes, (ep,) = make_balancer([0.1])
-    bal._record_failure(ep, "error", 99.0)
-    tun = make_tunnel(bal)
-    bal._send_setup(tun, ep, 101.0)
-    bal.setup_ended(tun, 0, ending, False, {}, 101.01)
-    assert notes.request_names() == ["setup"] and tun.state is State.QUEUED
-    assert bal._select_candidates(make_tunnel(bal), 101.4) == []
-    assert bal._select_candidates(make_tunnel(bal), 102.6) == [ep]
+    balancer, host, (server,) = make_balancer([0.1])
+    balancer._record_failure(server, "error", 99.0)
+    tunnel = make_tunnel(balancer)
+    balancer._send_setup(tunnel, server, 101.0)
+    balancer.setup_ended(tunnel, 0, ending, False, {}, 101.01)
+    assert host.request_names() == ["setup"] and tunnel.state is State.QUEUED
+    assert balancer._select_candidates(make_tunnel(balancer), 101.4) == []
+    assert balancer._select_candidates(make_tunnel(balancer), 102.6) == [server]
 
 
 @pytest.mark.parametrize(
@@ -601,14 +620,18 @@
     load: float, after: float, stands: bool, cold: bool
 ) -> None:
     # The list may be late or silent: two cold servers were pushed over that no list told to have restarted.
-    bal, _, (ep, _) = make_balancer([0.5, 0.5])
-    bal.mean_busy, now = 0.5, 100.0 + after
+    balancer, _, (server, _) = make_balancer([0.5, 0.5])
+    balancer.mean_busy, now = 0.5, 100.0 + after
     if stands:
-        bal.tunnel_inherited(make_tunnel(bal), ep, 99.0)
-    bal.probe_ended(ep, "no-connection", {}, 100.0)
-    bal.probe_ended(ep, "ok", {"load": load}, now)
-    age = load * bal.warm_up_window / (SLOW_START_SAFETY_FACTOR * MAX_RELATIVE_SIZE * bal.overload_factor)
-    assert ep.warm_at == pytest.approx(now - age + bal.warm_up_window if cold else 0.0)
+        balancer.tunnel_inherited(make_tunnel(balancer), server, 99.0)
+    balancer.probe_ended(server, "no-connection", {}, 100.0)
+    balancer.probe_ended(server, "ok", {"load": load}, now)
+    age = (
+        load
+        * balancer.warm_up_window
+        / (SLOW_START_SAFETY_FACTOR * MAX_RELATIVE_SIZE * balancer.overload_factor)
+    )
+    assert server.warm_at == pytest.approx(now - age + balancer.warm_up_window if cold else 0.0)
 
 
 @pytest.mark.parametrize("busy", [0.0, None])
@@ -618,15 +641,15 @@
     # Seen with processes: a balancer that hardly used a server had last heard it empty, so that the first
     # tunnels of others after its return were more than half of that, and 16 setups of its own went there
     # at once.
-    bal, _, (ep, _) = make_balancer([busy, 0.5])
-    bal.mean_busy = 0.5
-    bal.probe_ended(ep, "no-connection", {}, 100.0)
+    balancer, _, (server, _) = make_balancer([busy, 0.5])
+    balancer.mean_busy = 0.5
+    balancer.probe_ended(server, "no-connection", {}, 100.0)
     for _ in range(3):  # sent while it could not be asked: they tell nothing of the process before
-        tun = make_tunnel(bal)
-        bal._send_setup(tun, ep, 100.5)
-        bal.setup_opened(tun, 0, 100.6)
-    bal.probe_ended(ep, "ok", {"load": 0.06}, 101.0)
-    assert ep.warm_at > 110.0 and ep.start_inferred
+        tunnel = make_tunnel(balancer)
+        balancer._send_setup(tunnel, server, 100.5)
+        balancer.setup_opened(tunnel, 0, 100.6)
+    balancer.probe_ended(server, "ok", {"load": 0.06}, 101.0)
+    assert server.warm_at > 110.0 and server.start_inferred
 
 
 @pytest.mark.parametrize(
@@ -645,96 +668,100 @@
 ) -> None:
     # Seen with processes: of a rack of four a balancer had tunnels at two. It found these without a process;
     # the other two were back by the time it asked, empty, and got all tunnels that waited at one moment.
-    bal, notes, (ep, *others) = make_balancer([0.0, 0.5, 0.5])
-    bal.mean_busy, ep.reported_at = 0.5, heard
+    balancer, host, (server, *others) = make_balancer([0.0, 0.5, 0.5])
+    balancer.mean_busy, server.reported_at = 0.5, heard
     if stands:
-        bal.tunnel_inherited(make_tunnel(bal), ep, 98.0)
+        balancer.tunnel_inherited(make_tunnel(balancer), server, 98.0)
     for other in others[:fell]:
-        other.cell = ep.cell if near else other.cell
-        bal.probe_ended(other, "no-connection", {}, 100.0)
+        other.cell = server.cell if near else other.cell
+        balancer.probe_ended(other, "no-connection", {}, 100.0)
     if cold:
-        bal._place(make_tunnel(bal), 101.0)
-        assert notes.request_names() == ["probe"]  # asked first, though its report is young enough
-    bal.probe_ended(ep, "ok", {"load": load}, 101.0)
-    assert (ep.warm_at > 110.0) is cold
+        balancer._place(make_tunnel(balancer), 101.0)
+        assert host.request_names() == ["probe"]  # asked first, though its report is young enough
+    balancer.probe_ended(server, "ok", {"load": load}, 101.0)
+    assert (server.warm_at > 110.0) is cold
 
 
 def started(count: int = 4, **changes: Any) -> tuple[Balancer, list[Server]]:
     """A balancer that has just started, with a list from before that."""
-    bal = Balancer(make_site(**({"list_is_polled": True} | changes)), RecordingHost(), Random(1), 100.0)
-    bal.update_servers(
+    balancer = Balancer(make_site(**({"list_is_polled": True} | changes)), RecordingHost(), Random(1), 100.0)
+    balancer.update_servers(
         [ServerEntry(f"s{i}", "active", 0, i, 0, 0.0, 1.0) for i in range(count)], True, True, 100.0
     )
-    bal._update_fleet_estimates(0.1)
-    return bal, list(bal.servers.values())
+    balancer._update_fleet_estimates(0.1)
+    return balancer, list(balancer.servers.values())
 
 
 def test_after_an_own_start_no_server_is_taken_to_be_warm_until_the_list_is_told() -> None:
     # After a power loss 20 of 22 servers were pushed over that the start-up file's list held to be warm.
-    bal, servers = started()
-    assert not bal._select_ready(make_tunnel(bal), servers, 100.0) and all(
-        ep.warm_at == 120.0 for ep in servers
+    balancer, servers = started()
+    assert not balancer._select_ready(make_tunnel(balancer), servers, 100.0) and all(
+        server.warm_at == 120.0 for server in servers
     )
-    bal.update_servers([], False, True, 100.5)
-    assert all(ep.warm_at == 120.0 for ep in servers)
-    bal.update_servers(
+    balancer.update_servers([], False, True, 100.5)
+    assert all(server.warm_at == 120.0 for server in servers)
+    balancer.update_servers(
         [ServerEntry("s0", "active", 0, 0, 0, 99.0, 1.0)], False, False, 101.0
     )  # others are as they were
-    assert [ep.warm_at for ep in servers] == [119.0, 0.0, 0.0, 0.0]
+    assert [server.warm_at for server in servers] == [119.0, 0.0, 0.0, 0.0]
 
 
 def test_a_list_that_is_pushed_is_current_as_long_as_no_change_comes() -> None:
     # At koers-stream-nl, where no list follows the first, a day began with all servers taken to be cold.
-    bal, servers = started(list_is_polled=False)
-    assert all(ep.warm_at == 0.0 and ep.unconfirmed for ep in servers)
-    for ep in servers[:2]:
-        bal.probe_ended(ep, "ok", {"load": 0.3}, 100.1)  # heard since: one that falls later tells nothing
-        bal.probe_ended(ep, "no-connection", {}, 100.2)
+    balancer, servers = started(list_is_polled=False)
+    assert all(server.warm_at == 0.0 and server.unconfirmed for server in servers)
+    for server in servers[:2]:
+        balancer.probe_ended(
+            server, "ok", {"load": 0.3}, 100.1
+        )  # heard since: one that falls later tells nothing
+        balancer.probe_ended(server, "no-connection", {}, 100.2)
     assert servers[3].warm_at == 0.0
-    for ep in servers[2:]:
-        bal.probe_ended(ep, "no-connection", {}, 100.3)
+    for server in servers[2:]:
+        balancer.probe_ended(server, "no-connection", {}, 100.3)
     assert servers[0].warm_at > 100.3
 
 
 def test_what_own_eyes_saw_since_the_start_outlasts_a_list_that_has_not_noticed() -> None:
-    bal, (ep, *_) = started()
-    bal.probe_ended(ep, "no-connection", {}, 100.2)
-    bal.probe_ended(ep, "ok", {"load": 0.0}, 101.0)
-    bal.update_servers([ServerEntry("s0", "active", 0, 0, 0, 0.0, 1.0)], True, False, 101.5)
-    assert ep.warm_at == 121.0
+    balancer, (server, *_) = started()
+    balancer.probe_ended(server, "no-connection", {}, 100.2)
+    balancer.probe_ended(server, "ok", {"load": 0.0}, 101.0)
+    balancer.update_servers([ServerEntry("s0", "active", 0, 0, 0, 0.0, 1.0)], True, False, 101.5)
+    assert server.warm_at == 121.0
 
 
 @pytest.mark.parametrize(("gone", "cold"), [(1, False), (2, True)])
 def test_many_without_a_process_gainsay_a_memory_that_holds_all_to_be_warm(gone: int, cold: bool) -> None:
-    bal, servers = started()
-    for ep in servers:
-        bal.confirm_process(ep)
-    assert all(ep.warm_at == 0.0 for ep in servers)
-    for ep in servers[:gone]:
-        bal.probe_ended(ep, "no-connection", {}, 100.2)
+    balancer, servers = started()
+    for server in servers:
+        balancer.confirm_process(server)
+    assert all(server.warm_at == 0.0 for server in servers)
+    for server in servers[:gone]:
+        balancer.probe_ended(server, "no-connection", {}, 100.2)
     assert (servers[3].warm_at > 100.2) is cold
 
 
 def test_a_server_without_a_process_may_get_what_one_that_starts_may_and_is_asked_first() -> None:
-    bal, notes, (ep,) = make_balancer([0.1])
-    bal.slow_start_rate = 0.0
-    bal._record_failure(ep, "no-connection", 100.0)
-    assert not bal._has_slow_start_budget(ep, 101.0)
-    bal.probe_credit = 0.0
-    assert not bal._select_ready(make_tunnel(bal), [ep], 130.0)  # it can't be asked, and has no budget
-    bal.probe_credit = 1.0
-    bal._place(make_tunnel(bal, left=40.0), 130.0)
-    assert notes.request_names() == ["probe"]
+    balancer, host, (server,) = make_balancer([0.1])
+    balancer.slow_start_rate = 0.0
+    balancer._record_failure(server, "no-connection", 100.0)
+    assert not balancer._has_slow_start_budget(server, 101.0)
+    balancer.probe_credit = 0.0
+    assert not balancer._select_ready(
+        make_tunnel(balancer), [server], 130.0
+    )  # it can't be asked, and has no budget
+    balancer.probe_credit = 1.0
+    balancer._place(make_tunnel(balancer, remaining=40.0), 130.0)
+    assert host.request_names() == ["probe"]
 
 
 def test_a_tunnel_that_found_no_budget_at_the_end_is_answered_at_once() -> None:
     # Found by a hunt: it was held without a look at its time, and answered after the client had given up.
-    bal, notes, (ep,) = make_balancer([0.1])
-    bal._record_failure(ep, "no-connection", 90.0)
-    tun = make_tunnel(bal, left=1.5 * bal.timer_interval)
-    tun.candidates, bal.slow_start_rate = [ep], 0.0
-    bal._offer(tun, 100.0)
-    assert notes.request_names() == ["decline"] and tun.state is State.ENDED
+    balancer, host, (server,) = make_balancer([0.1])
+    balancer._record_failure(server, "no-connection", 90.0)
+    tunnel = make_tunnel(balancer, remaining=1.5 * balancer.timer_interval)
+    tunnel.candidates, balancer.slow_start_rate = [server], 0.0
+    balancer._offer(tunnel, 100.0)
+    assert host.request_names() == ["decline"] and tunnel.state is State.ENDED
 
 
 @pytest.mark.parametrize(
@@ -750,13 +777,13 @@
 def test_one_that_answers_again_is_a_new_process_by_its_figure(
     was: float | None, told: float, now: float | None, cold: bool
 ) -> None:
-    bal, _, (ep, _) = make_balancer([was, 0.5])
-    bal.mean_busy, ep.warm_at = 0.5, told
-    bal.tunnel_inherited(make_tunnel(bal), ep, 99.0)
-    bal.probe_ended(ep, "no-connection", {}, 100.0)
-    bal.probe_ended(ep, "ok", {} if now is None else {"load": now}, 103.0)
-    assert (ep.warm_at > 110.0) is cold and not ep.process_missing
-    assert cold or ep.warm_at == told
+    balancer, _, (server, _) = make_balancer([was, 0.5])
+    balancer.mean_busy, server.warm_at = 0.5, told
+    balancer.tunnel_inherited(make_tunnel(balancer), server, 99.0)
+    balancer.probe_ended(server, "no-connection", {}, 100.0)
+    balancer.probe_ended(server, "ok", {} if now is None else {"load": now}, 103.0)
+    assert (server.warm_at > 110.0) is cold and not server.process_missing
+    assert cold or server.warm_at == told
 
 
 @pytest.mark.parametrize(
@@ -768,31 +795,31 @@
 ) -> None:
     # One that restarts within a probe's time is never found without a process; one that is asked for too
     # much breaks tunnels one by one, and one box between breaks some without emptying the server.
-    bal, _, (ep, _) = make_balancer([0.5, 0.5])
-    bal.mean_busy = 0.5
+    balancer, _, (server, _) = make_balancer([0.5, 0.5])
+    balancer.mean_busy = 0.5
     if stands:
-        bal.tunnel_inherited(make_tunnel(bal), ep, 100.0)
+        balancer.tunnel_inherited(make_tunnel(balancer), server, 100.0)
     for i in range(2):
-        tun = make_tunnel(bal)
-        bal._send_setup(tun, ep, 100.0)
-        bal.setup_opened(tun, 0, 100.1)
-        bal.setup_ended(tun, 0, "reset", True, {}, 101.0 + i * apart)
-    bal.probe_ended(ep, "ok", {"load": load}, 104.0)
-    assert (ep.warm_at > 110.0) is cold
+        tunnel = make_tunnel(balancer)
+        balancer._send_setup(tunnel, server, 100.0)
+        balancer.setup_opened(tunnel, 0, 100.1)
+        balancer.setup_ended(tunnel, 0, "reset", True, {}, 101.0 + i * apart)
+    balancer.probe_ended(server, "ok", {"load": load}, 104.0)
+    assert (server.warm_at > 110.0) is cold
 
 
 def test_one_that_broke_its_tunnels_and_refused_is_new_whatever_others_sent_it_since() -> None:
     # Seen with processes: two balancers had filled it to over half of its former figure, of a fifth of its
     # capacity, when the third asked, which took it for the warm process and pushed it over.
-    bal, _, (ep, _) = make_balancer([0.4, 0.4])
+    balancer, _, (server, _) = make_balancer([0.4, 0.4])
     for _ in range(2):
-        tun = make_tunnel(bal)
-        bal._send_setup(tun, ep, 100.0)
-        bal.setup_opened(tun, 0, 100.1)
-        bal.setup_ended(tun, 0, "reset", True, {}, 101.0)
-    bal.probe_ended(ep, "no-connection", {}, 101.1)
-    bal.probe_ended(ep, "ok", {"load": 0.36}, 103.0)
-    assert ep.warm_at > 110.0
+        tunnel = make_tunnel(balancer)
+        balancer._send_setup(tunnel, server, 100.0)
+        balancer.setup_opened(tunnel, 0, 100.1)
+        balancer.setup_ended(tunnel, 0, "reset", True, {}, 101.0)
+    balancer.probe_ended(server, "no-connection", {}, 101.1)
+    balancer.probe_ended(server, "ok", {"load": 0.36}, 103.0)
+    assert server.warm_at > 110.0
 
 
 @pytest.mark.parametrize(
@@ -801,12 +828,12 @@
 def test_a_load_that_takes_time_to_come_tells_that_an_inferred_start_is_longer_ago(
     guessed: bool, loads: tuple[float, ...], older: bool
 ) -> None:
-    bal, _, (ep, _) = make_balancer([0.0, 0.5])
-    make_cold(bal, ep, 100.0, 0.0)
-    ep.start_inferred = guessed
+    balancer, _, (server, _) = make_balancer([0.0, 0.5])
+    make_cold(balancer, server, 100.0, 0.0)
+    server.start_inferred = guessed
     for i, load in enumerate(loads):  # a report that sticks, or praises, moves it no further
-        bal.probe_ended(ep, "ok", {"load": load}, 100.1 + i / 10)
-    assert (ep.warm_at < 119.0) is older and ep.warm_at > 110.0
+        balancer.probe_ended(server, "ok", {"load": load}, 100.1 + i / 10)
+    assert (server.warm_at < 119.0) is older and server.warm_at > 110.0
 
 
 @pytest.mark.parametrize("stated", [0.625, 1.0, 2.0])
@@ -815,157 +842,162 @@
     # Power is back: all balancers and all servers are new, and clients wait at every balancer.
     sent: list[float] = []
     for seed in range(balancers):
-        bal, servers = started(1, balancer_count=max(1, round(balancers * stated)), tunnel_quota=60.0)
-        (ep,) = servers
-        ep.slow_start_budget = Random(seed).random()
+        balancer, servers = started(1, balancer_count=max(1, round(balancers * stated)), tunnel_quota=60.0)
+        (server,) = servers
+        server.slow_start_budget = Random(seed).random()
         for step in range(100):
             now = 100.0 + step / 10
-            while bal._select_ready(make_tunnel(bal), [ep], now):
-                bal._send_setup(make_tunnel(bal), ep, now)
-                ep.unreported_placements.clear()
-                bal._update_load_estimate(ep)
+            while balancer._select_ready(make_tunnel(balancer), [server], now):
+                balancer._send_setup(make_tunnel(balancer), server, now)
+                server.unreported_placements.clear()
+                balancer._update_load_estimate(server)
                 sent.append(now)
     full = (
-        bal.overload_factor * 60.0 / bal.warm_up_window
+        balancer.overload_factor * 60.0 / balancer.warm_up_window
     )  # tunnels a second that all may send it, were it warm
     for step in range(80):
         begin = 100.0 + step / 10
         share = (
-            bal.slow_start_share
-            + (1 - bal.slow_start_share) * (begin + bal.overload_window / 2 - 100.0) / bal.warm_up_window
+            balancer.slow_start_share
+            + (1 - balancer.slow_start_share)
+            * (begin + balancer.overload_window / 2 - 100.0)
+            / balancer.warm_up_window
         )
-        limit = full * share * bal.overload_window
+        limit = full * share * balancer.overload_window
         # Chance over 80 spans: two standard deviations of a count.
-        assert sum(begin <= at < begin + bal.overload_window for at in sent) <= limit + 2.0 * limit**0.5
+        assert sum(begin <= at < begin + balancer.overload_window for at in sent) <= limit + 2.0 * limit**0.5
 
 
 @pytest.mark.parametrize(("starts", "held"), [((101.0,), 0.0), ((101.0, 109.0), 12.0), ((101.0, 141.0), 0.0)])
 def test_a_server_that_fails_by_turns_is_held_back(starts: tuple[float, ...], held: float) -> None:
-    bal, _, (ep, _) = make_balancer([0.1, 0.1])
+    balancer, _, (server, _) = make_balancer([0.1, 0.1])
     for at in starts:
-        bal.update_servers([ServerEntry(ep.name, "active", 0, 0, 0, at, 1.0)], False, False, at)
-    bal.servers[ep.name].warm_at = 0.0  # what matters here is not its being cold
-    assert ep.unstable_until == pytest.approx(starts[-1] + held)
+        balancer.update_servers([ServerEntry(server.name, "active", 0, 0, 0, at, 1.0)], False, False, at)
+    balancer.servers[server.name].warm_at = 0.0  # what matters here is not its being cold
+    assert server.unstable_until == pytest.approx(starts[-1] + held)
     for later, ready in ((held - 0.5, False), (held + 0.5, True)):
-        assert later < 0 or (ep in bal._select_candidates(make_tunnel(bal), starts[-1] + later)) is ready
+        assert (
+            later < 0
+            or (server in balancer._select_candidates(make_tunnel(balancer), starts[-1] + later)) is ready
+        )
 
 
 @pytest.mark.parametrize(("failed", "at", "sends"), [(1, 100.1, True), (2, 100.1, False), (2, 100.6, True)])
 def test_where_nothing_opens_one_setup_is_out_at_a_time(failed: int, at: float, sends: bool) -> None:
     # All servers slow, or this balancer cut off: each server would cost it a setup, and the next tunnel too.
-    bal, notes, servers = make_balancer([0.1] * 8)
-    for ep in servers[:failed]:
-        tun = make_tunnel(bal)
-        bal._send_setup(tun, ep, 100.0)
-        bal.retry_budget = 0.0
-        bal.setup_ended(tun, 0, "timeout", False, {}, 100.0)
-    assert bool(bal._select_candidates(make_tunnel(bal), at)) is sends
-    bal._send_setup(make_tunnel(bal), servers[7], at)
-    assert bool(bal._select_candidates(make_tunnel(bal), at)) is (failed < 2)
-    bal.setup_opened(notes.requests[-1][1], 0, at)
-    assert bal._select_candidates(make_tunnel(bal), at)
+    balancer, host, servers = make_balancer([0.1] * 8)
+    for server in servers[:failed]:
+        tunnel = make_tunnel(balancer)
+        balancer._send_setup(tunnel, server, 100.0)
+        balancer.retry_budget = 0.0
+        balancer.setup_ended(tunnel, 0, "timeout", False, {}, 100.0)
+    assert bool(balancer._select_candidates(make_tunnel(balancer), at)) is sends
+    balancer._send_setup(make_tunnel(balancer), servers[7], at)
+    assert bool(balancer._select_candidates(make_tunnel(balancer), at)) is (failed < 2)
+    balancer.setup_opened(host.requests[-1][1], 0, at)
+    assert balancer._select_candidates(make_tunnel(balancer), at)
 
 
 def test_a_broken_tunnel_has_its_server_asked_at_once() -> None:
-    bal, _, (ep, _) = make_balancer([0.1, 0.1])
-    tun = make_tunnel(bal)
-    bal.tunnel_inherited(tun, ep, 99.0)
-    ep.probe_due = 200.0
-    bal.setup_ended(tun, 0, "reset", True, {}, 100.6)
-    assert ep.probe_due == 100.6
+    balancer, _, (server, _) = make_balancer([0.1, 0.1])
+    tunnel = make_tunnel(balancer)
+    balancer.tunnel_inherited(tunnel, server, 99.0)
+    server.probe_due = 200.0
+    balancer.setup_ended(tunnel, 0, "reset", True, {}, 100.6)
+    assert server.probe_due == 100.6
 
 
 @pytest.mark.parametrize(("scarce", "few"), [(True, True), (False, False)])
 def test_groups_stay_near_home_while_tunnels_are_turned_away(scarce: bool, few: bool) -> None:
-    bal, _, servers = make_balancer([MAX_LOAD_LIMIT - 0.07] * 40, balancer_count=200)
-    bal.mean_load = bal.load_limit = MAX_LOAD_LIMIT
-    for ep in servers:
-        ep.reported_load = MAX_LOAD_LIMIT - 0.07
-        bal._update_load_estimate(ep)
-    bal.no_room_until = 101.0 if scarce else 100.0
-    drawn = bal._select_candidates(make_tunnel(bal, group="g"), 100.0)
+    balancer, _, servers = make_balancer([MAX_LOAD_LIMIT - 0.07] * 40, balancer_count=200)
+    balancer.mean_load = balancer.load_limit = MAX_LOAD_LIMIT
+    for server in servers:
+        server.reported_load = MAX_LOAD_LIMIT - 0.07
+        balancer._update_load_estimate(server)
+    balancer.no_room_until = 101.0 if scarce else 100.0
+    drawn = balancer._select_candidates(make_tunnel(balancer, group="g"), 100.0)
     assert (len(drawn) < 10) is few and drawn
 
 
 def test_a_tunnel_that_two_servers_fail_is_given_up_and_not_held_against_them() -> None:
     # Guards servers' standing against a client whose line each of them fails: all would be suspended in turn.
-    bal, notes, servers = make_balancer([0.1, 0.1, 0.1])
-    tun = make_tunnel(bal)
-    bal._place(tun, 100.0)
+    balancer, host, servers = make_balancer([0.1, 0.1, 0.1])
+    tunnel = make_tunnel(balancer)
+    balancer._place(tunnel, 100.0)
     for number in range(2):
-        bal.setup_ended(tun, number, "error", False, {}, 100.1)
-    assert tun.setups[0].server is not tun.setups[1].server
-    assert notes.request_names() == ["setup", "setup", "decline"]
-    assert not any(ep.ejected_until > 100.1 for ep in servers)
+        balancer.setup_ended(tunnel, number, "error", False, {}, 100.1)
+    assert tunnel.setups[0].server is not tunnel.setups[1].server
+    assert host.request_names() == ["setup", "setup", "decline"]
+    assert not any(server.ejected_until > 100.1 for server in servers)
 
 
 def test_further_setups_are_also_earned_by_the_clock() -> None:
     # Guards tunnels on a quiet day, where hardly any opens, from being declined at their first failure.
-    bal, _, _ = make_balancer([0.5])
-    bal.retry_budget = 0.0
+    balancer, _, _ = make_balancer([0.5])
+    balancer.retry_budget = 0.0
     for i in range(1, 6):
-        bal._run_control_pass(100.0 + i)
-    assert bal.retry_budget == pytest.approx(1.0)
+        balancer._run_control_pass(100.0 + i)
+    assert balancer.retry_budget == pytest.approx(1.0)
 
 
 @pytest.mark.parametrize(("retries", "asked"), [(1.0, "setup"), (0.9, "decline")])
 def test_little_is_tried_again_where_little_is_opened(retries: float, asked: str) -> None:
     # Further setups on a fleet that fails them all would be a storm of our own making.
-    bal, notes, servers = make_balancer([0.1] * 3)
-    tun = make_tunnel(bal)
-    bal._send_setup(tun, servers[0], 100.0)
-    bal.retry_budget = retries
-    bal.setup_ended(tun, 0, "timeout", False, {}, 100.5)
-    assert notes.request_names() == ["setup", asked]
+    balancer, host, servers = make_balancer([0.1] * 3)
+    tunnel = make_tunnel(balancer)
+    balancer._send_setup(tunnel, servers[0], 100.0)
+    balancer.retry_budget = retries
+    balancer.setup_ended(tunnel, 0, "timeout", False, {}, 100.5)
+    assert host.request_names() == ["setup", asked]
 
 
 def test_one_function_changes_state_and_refuses_what_cannot_be() -> None:
-    bal, _, _ = make_balancer([0.1])
-    tun = make_tunnel(bal)
-    tun.transition_to(State.ENDED)
+    balancer, _, _ = make_balancer([0.1])
+    tunnel = make_tunnel(balancer)
+    tunnel.transition_to(State.ENDED)
     with pytest.raises(ValueError, match="cannot become"):
-        tun.transition_to(State.OPEN)
+        tunnel.transition_to(State.OPEN)
 
 
 def test_reports_from_before_the_standing_tunnels_are_asked_for_again() -> None:
     # Guards against a balancer that takes its servers for empty until the next probe by the clock.
-    bal, _, servers = make_balancer([0.0, 0.0])
+    balancer, _, servers = make_balancer([0.0, 0.0])
     servers[0].probe_due = servers[1].probe_due = 107.0
-    bal.tunnel_inherited(make_tunnel(bal), servers[0], 100.0)
+    balancer.tunnel_inherited(make_tunnel(balancer), servers[0], 100.0)
     assert servers[0].probe_due == 101.0 and servers[1].probe_due == 107.0
 
 
 def test_an_overloaded_server_is_asked_again_soon_after_tunnels_were_moved_off() -> None:
     # Guards against a move-off that was not enough and is not looked at until the next probe by the clock.
-    bal, _, servers = make_balancer([0.3, 0.3])
+    balancer, _, servers = make_balancer([0.3, 0.3])
     for _ in range(FEW_OWN_TUNNELS + 1):
-        bal.tunnel_inherited(make_tunnel(bal), servers[0], 100.0)
+        balancer.tunnel_inherited(make_tunnel(balancer), servers[0], 100.0)
     servers[0].probe_due = 130.0
-    bal.probe_ended(servers[0], "ok", {"load": 1.2}, 105.0)
+    balancer.probe_ended(servers[0], "ok", {"load": 1.2}, 105.0)
     assert servers[0].probe_due == pytest.approx(107.0)
 
 
 def test_standing_tunnels_pay_for_more_than_two_rounds_of_probes() -> None:
     # Guards against an empty purse on a day on which tunnels last long and few arrive, and after a start
     # before the servers': the first probes bring no report there.
-    bal, _, servers = make_balancer([0.3, 0.3])
-    bal._earn_probe_credit(9.9)
-    two_rounds = bal.probe_credit
+    balancer, _, servers = make_balancer([0.3, 0.3])
+    balancer._earn_probe_credit(9.9)
+    two_rounds = balancer.probe_credit
     for _ in range(30):
-        bal.tunnel_inherited(make_tunnel(bal), servers[0], 100.0)
-    assert bal.probe_credit == pytest.approx(two_rounds + (30 - FEW_OWN_TUNNELS) * PERIODIC_PROBE_SHARE)
+        balancer.tunnel_inherited(make_tunnel(balancer), servers[0], 100.0)
+    assert balancer.probe_credit == pytest.approx(two_rounds + (30 - FEW_OWN_TUNNELS) * PERIODIC_PROBE_SHARE)
 
 
 @pytest.mark.parametrize(("load", "due"), [(0.3, 101.0), (0.06, 130.0), (0.01, 130.0)])
 def test_a_tunnel_that_grows_heavy_has_its_server_asked(load: float, due: float) -> None:
     # Guards against a server that one tunnel fills while its last report still looks well.
-    bal, _, servers = make_balancer([0.3, 0.3])
-    tunnels = [make_tunnel(bal) for _ in range(4)]
-    for tun in tunnels:
-        bal.tunnel_inherited(tun, servers[0], 100.0)
-        tun.load = 0.05
+    balancer, _, servers = make_balancer([0.3, 0.3])
+    tunnels = [make_tunnel(balancer) for _ in range(4)]
+    for tunnel in tunnels:
+        balancer.tunnel_inherited(tunnel, servers[0], 100.0)
+        tunnel.load = 0.05
     servers[0].probe_due = 130.0
-    bal.record_load(tunnels[0], load, 100.0)
+    balancer.record_load(tunnels[0], load, 100.0)
     assert (tunnels[0].load, servers[0].probe_due) == (load, due)
 
 
@@ -975,40 +1007,40 @@
 )
 def test_a_report_tells_what_own_tunnels_add_at_most(opened: int, load: float, adds: float) -> None:
     # Guards large, idle servers from being held to be full: 56 tunnels a second on four of them.
-    bal, _, (ep, _) = make_balancer([0.0, 0.0])
+    balancer, _, (server, _) = make_balancer([0.0, 0.0])
     for i in range(opened):
-        tun = make_tunnel(bal)
-        bal._send_setup(tun, ep, 100.0 + i / 1000)
-        bal.setup_opened(tun, 0, 100.1)
-    assert len(ep.unreported_placements) == opened
-    bal.probe_ended(ep, "ok", {"load": load}, 101.1)
+        tunnel = make_tunnel(balancer)
+        balancer._send_setup(tunnel, server, 100.0 + i / 1000)
+        balancer.setup_opened(tunnel, 0, 100.1)
+    assert len(server.unreported_placements) == opened
+    balancer.probe_ended(server, "ok", {"load": load}, 101.1)
     assert (
-        ep.max_load_per_tunnel == pytest.approx(adds)
-        and not ep.unreported_placements
-        and not ep.unreported_openings
+        server.max_load_per_tunnel == pytest.approx(adds)
+        and not server.unreported_placements
+        and not server.unreported_openings
     )
     for _ in range(3):
-        ep.unreported_placements.append(101.2)
-    added = 3 * min(adds, bal.load_per_tunnel) * bal.balancer_count
-    assert bal._unreported_load(ep) == pytest.approx(added)
-    bal.probe_ended(ep, "ok", {"load": load}, 140.0)
-    assert ep.max_load_per_tunnel == float("inf")  # no later report has shown it again
+        server.unreported_placements.append(101.2)
+    added = 3 * min(adds, balancer.load_per_tunnel) * balancer.balancer_count
+    assert balancer._unreported_load(server) == pytest.approx(added)
+    balancer.probe_ended(server, "ok", {"load": load}, 140.0)
+    assert server.max_load_per_tunnel == float("inf")  # no later report has shown it again
 
 
 def test_what_failed_or_is_too_young_shows_nothing_of_what_a_tunnel_adds() -> None:
     # Guards against servers that fail most setups at once: their load is low, but nothing stands there.
-    bal, _, (ep, _) = make_balancer([0.0, 0.0])
+    balancer, _, (server, _) = make_balancer([0.0, 0.0])
     for i in range(20):
-        tun = make_tunnel(bal)
-        bal._send_setup(tun, ep, 100.0)
+        tunnel = make_tunnel(balancer)
+        balancer._send_setup(tunnel, server, 100.0)
         if i < 10:
-            bal.setup_ended(tun, 0, "error", False, {}, 100.05)
+            balancer.setup_ended(tunnel, 0, "error", False, {}, 100.05)
         else:
-            bal.setup_opened(tun, 0, 100.1)
-    bal.probe_ended(ep, "ok", {"load": 0.001}, 100.3)
-    assert ep.max_load_per_tunnel == float("inf") and len(ep.unreported_openings) == 10
-    bal.probe_ended(ep, "ok", {"load": 0.5}, 101.1)
-    assert ep.max_load_per_tunnel == pytest.approx(0.1)  # by the ten that stand
+            balancer.setup_opened(tunnel, 0, 100.1)
+    balancer.probe_ended(server, "ok", {"load": 0.001}, 100.3)
+    assert server.max_load_per_tunnel == float("inf") and len(server.unreported_openings) == 10
+    balancer.probe_ended(server, "ok", {"load": 0.5}, 101.1)
+    assert server.max_load_per_tunnel == pytest.approx(0.1)  # by the ten that stand
 
 
 @pytest.mark.parametrize(("fields", "kept"), [(("connections",), 0), (("load",), 4000)])
@@ -1016,50 +1048,50 @@
     fields: tuple[str, ...], kept: int
 ) -> None:
     # Guards memory: nothing but a report of the load ever takes these off again.
-    bal, _, (ep, _) = make_balancer([None, None], report_fields=fields)
+    balancer, _, (server, _) = make_balancer([None, None], report_fields=fields)
     for _ in range(5000):
-        tun = make_tunnel(bal)
-        bal._send_setup(tun, ep, 100.0)
-        bal.setup_opened(tun, 0, 100.1)
-    assert len(ep.unreported_openings) == kept
+        tunnel = make_tunnel(balancer)
+        balancer._send_setup(tunnel, server, 100.0)
+        balancer.setup_opened(tunnel, 0, 100.1)
+    assert len(server.unreported_openings) == kept
 
 
 def test_what_a_cold_server_may_get_does_not_follow_what_tunnels_seem_to_add() -> None:
     # Guards rule 4: tunnels that end soon make a server look large.
-    bal, _, (ep, _) = make_balancer([0.0, 0.0])
-    bal._update_fleet_estimates(0.3)
-    gain = bal.slow_start_rate
+    balancer, _, (server, _) = make_balancer([0.0, 0.0])
+    balancer._update_fleet_estimates(0.3)
+    gain = balancer.slow_start_rate
     for _ in range(20):
-        tun = make_tunnel(bal)
-        bal._send_setup(tun, ep, 100.0)
-        bal.setup_opened(tun, 0, 100.1)
-        bal.client_left(tun, 100.2)
-        bal.setup_ended(tun, 0, "cancelled", True, {}, 100.2)
-    bal.probe_ended(ep, "ok", {"load": 0.001}, 101.1)
-    assert ep.max_load_per_tunnel < bal.load_per_tunnel
-    bal._update_fleet_estimates(0.0)
-    assert bal.slow_start_rate == gain
+        tunnel = make_tunnel(balancer)
+        balancer._send_setup(tunnel, server, 100.0)
+        balancer.setup_opened(tunnel, 0, 100.1)
+        balancer.client_left(tunnel, 100.2)
+        balancer.setup_ended(tunnel, 0, "cancelled", True, {}, 100.2)
+    balancer.probe_ended(server, "ok", {"load": 0.001}, 101.1)
+    assert server.max_load_per_tunnel < balancer.load_per_tunnel
+    balancer._update_fleet_estimates(0.0)
+    assert balancer.slow_start_rate == gain
 
 
 def test_tunnels_that_wait_have_a_server_asked_as_soon_as_its_report_can_tell() -> None:
-    bal, notes, (ep, other) = make_balancer([0.0, 0.0])
-    bal.probe_credit = 1.0
+    balancer, host, (server, other) = make_balancer([0.0, 0.0])
+    balancer.probe_credit = 1.0
     for _ in range(8):
-        tun = make_tunnel(bal)
-        bal._send_setup(tun, ep, 100.0)
-        bal.setup_opened(tun, 0, 100.05)
-    waiting = make_tunnel(bal)
-    bal.queue[waiting] = None
-    for server in (ep, other):
-        server.probe_due, server.reported_at, server.answered_at = 200.0, 100.8, 100.8
-    bal.next_pass_due = 200.0
-    bal.timer_at = 100.0
-    bal.timer_due(100.9)
-    assert ("probe", ep) not in notes.requests
-    bal.queue[waiting] = None
-    bal.timer_at = 100.0
-    bal.timer_due(101.01)
-    assert ("probe", ep) in notes.requests and ("probe", other) not in notes.requests
+        tunnel = make_tunnel(balancer)
+        balancer._send_setup(tunnel, server, 100.0)
+        balancer.setup_opened(tunnel, 0, 100.05)
+    waiting = make_tunnel(balancer)
+    balancer.queue[waiting] = None
+    for each in (server, other):
+        each.probe_due, each.reported_at, each.answered_at = 200.0, 100.8, 100.8
+    balancer.next_pass_due = 200.0
+    balancer.timer_at = 100.0
+    balancer.timer_due(100.9)
+    assert ("probe", server) not in host.requests
+    balancer.queue[waiting] = None
+    balancer.timer_at = 100.0
+    balancer.timer_due(101.01)
+    assert ("probe", server) in host.requests and ("probe", other) not in host.requests
 
 
 @pytest.mark.parametrize(("reported", "most"), [(0.62, 20), (0.64, 10), (0.1, 60)])
@@ -1067,26 +1099,26 @@
     # Each of 40 that wait sent a tunnel for the same little room, and took the server over the limit.
     sent = 0
     for seed in range(40):
-        bal, _, (ep, *full) = make_balancer([0.5, 0.9, 0.9, 0.9], balancer_count=40)
-        bal.uniform, bal.load_per_tunnel, bal.probe_credit = Random(seed).uniform, 0.03, 1.0
-        for one in (ep, *full):
+        balancer, _, (server, *full) = make_balancer([0.5, 0.9, 0.9, 0.9], balancer_count=40)
+        balancer.uniform, balancer.load_per_tunnel, balancer.probe_credit = Random(seed).uniform, 0.03, 1.0
+        for one in (server, *full):
             one.reported_load = one.reported_busy or 0.0
             one.estimated_load = 0.9
         for _ in range(2):
-            bal._enqueue(make_tunnel(bal), 100.0)
-        bal.probe_ended(ep, "ok", {"load": reported}, 100.0)
-        bal._serve_queue(100.0)
-        sent += len(ep.unreported_placements)
+            balancer._enqueue(make_tunnel(balancer), 100.0)
+        balancer.probe_ended(server, "ok", {"load": reported}, 100.0)
+        balancer._serve_queue(100.0)
+        sent += len(server.unreported_placements)
     assert 1 <= sent <= most
 
 
 def test_a_balancer_alone_or_with_nothing_to_place_takes_a_report_as_it_is() -> None:
     for balancers, waits in ((1, 3), (40, 0)):
-        bal, _, (ep, _) = make_balancer([0.5, 0.5], balancer_count=balancers)
+        balancer, _, (server, _) = make_balancer([0.5, 0.5], balancer_count=balancers)
         for _ in range(waits):
-            bal._enqueue(make_tunnel(bal), 100.0)
-        bal.probe_ended(ep, "ok", {"load": 0.6}, 100.0)
-        assert ep.assumed_peer_load == 0.0 and ep.estimated_load == 0.6
+            balancer._enqueue(make_tunnel(balancer), 100.0)
+        balancer.probe_ended(server, "ok", {"load": 0.6}, 100.0)
+        assert server.assumed_peer_load == 0.0 and server.estimated_load == 0.6
 
 
 @pytest.mark.parametrize(
@@ -1096,35 +1128,38 @@
     out_for: float, budget: float, asked: bool
 ) -> None:
     # 40 balancers each asked the suspended and the cold ones again and again, whatever these told.
-    bal, notes, (ep, _) = make_balancer([None, 0.5], balancer_count=40)
-    bal.probe_credit = 1.0
-    make_cold(bal, ep, 99.9, budget)
-    ep.probe_due, ep.ejected_until = 100.0, 100.0 + out_for
-    bal._probe_servers(100.0)
-    assert (("probe", ep) in notes.requests) is asked
+    balancer, host, (server, _) = make_balancer([None, 0.5], balancer_count=40)
+    balancer.probe_credit = 1.0
+    make_cold(balancer, server, 99.9, budget)
+    server.probe_due, server.ejected_until = 100.0, 100.0 + out_for
+    balancer._probe_servers(100.0)
+    assert (("probe", server) in host.requests) is asked
 
 
 def test_where_nothing_opens_tries_come_ever_further_apart() -> None:
     # Guards a store that all servers ask: what times out was work for it, and storms of tries kept it full.
-    bal, _, servers = make_balancer([0.2] * 8)
+    balancer, _, servers = make_balancer([0.2] * 8)
     now, gaps = 101.0, []
     for _ in range(10):
-        tun, bal.retry_budget = make_tunnel(bal), 0.0
-        bal._send_setup(tun, servers[0], now)
-        now += bal.attempt_timeout
-        bal.setup_ended(tun, 0, "timeout", False, {}, now)
-        for ep in servers:
-            ep.ejected_until = 0.0
+        tunnel, balancer.retry_budget = make_tunnel(balancer), 0.0
+        balancer._send_setup(tunnel, servers[0], now)
+        now += balancer.attempt_timeout
+        balancer.setup_ended(tunnel, 0, "timeout", False, {}, now)
+        for server in servers:
+            server.ejected_until = 0.0
         began = now
-        while not bal._select_candidates(make_tunnel(bal), now) and now < began + 40 * bal.attempt_timeout:
-            now += bal.attempt_timeout / 10
-        gaps.append(round((now - began) / bal.attempt_timeout))
+        while (
+            not balancer._select_candidates(make_tunnel(balancer), now)
+            and now < began + 40 * balancer.attempt_timeout
+        ):
+            now += balancer.attempt_timeout / 10
+        gaps.append(round((now - began) / balancer.attempt_timeout))
     assert gaps == [0, 1, 2, 4, 8, 16, 16, 16, 16, 16]
     # One that opens ends it.
-    tun = make_tunnel(bal)
-    bal._send_setup(tun, servers[0], now)
-    bal.setup_opened(tun, 0, now)
-    assert bal._select_candidates(make_tunnel(bal), now)
+    tunnel = make_tunnel(balancer)
+    balancer._send_setup(tunnel, servers[0], now)
+    balancer.setup_opened(tunnel, 0, now)
+    assert balancer._select_candidates(make_tunnel(balancer), now)
 
 
 @pytest.mark.parametrize(
@@ -1137,30 +1172,30 @@
     ],
 )
 def test_what_stood_in_the_way_of_a_declined_tunnel_is_counted(why: str, change: dict[str, Any]) -> None:
-    bal, notes, servers = make_balancer([0.9] * 4)
-    for ep in servers:
-        ep.reported_load = ep.estimated_load = 0.9
-    bal.probe_credit = 0.0
+    balancer, host, servers = make_balancer([0.9] * 4)
+    for server in servers:
+        server.reported_load = server.estimated_load = 0.9
+    balancer.probe_credit = 0.0
     for name, value in change.items():
-        setattr(bal, name, value)
-    bal._place(make_tunnel(bal, left=1.4), 100.0)
-    assert notes.request_names() == ["decline"] and bal.declined == {why: 1}
-    for ep in servers:
-        ep.ejected_until, ep.warm_at = 200.0, 0.0
+        setattr(balancer, name, value)
+    balancer._place(make_tunnel(balancer, remaining=1.4), 100.0)
+    assert host.request_names() == ["decline"] and balancer.declined == {why: 1}
+    for server in servers:
+        server.ejected_until, server.warm_at = 200.0, 0.0
     if not change:
-        bal._place(make_tunnel(bal, left=1.4), 100.0)
-        assert bal.declined["ejected"] == 1
+        balancer._place(make_tunnel(balancer, remaining=1.4), 100.0)
+        assert balancer.declined["ejected"] == 1
 
 
 def crowded(count: int = 40, load: float = MAX_LOAD_LIMIT - 0.07) -> tuple[Balancer, Any, list[Server]]:
     """One of 200 balancers, where room is scarce, groups are kept near home, and many servers are new."""
-    bal, notes, servers = make_balancer([load] * count, balancer_count=200)
-    bal.mean_load = bal.load_limit = MAX_LOAD_LIMIT
-    for ep in servers:
-        ep.reported_load = load
-        bal._update_load_estimate(ep)
-    bal.no_room_until, bal.is_fleet_renewing = 110.0, True
-    return bal, notes, servers
+    balancer, host, servers = make_balancer([load] * count, balancer_count=200)
+    balancer.mean_load = balancer.load_limit = MAX_LOAD_LIMIT
+    for server in servers:
+        server.reported_load = load
+        balancer._update_load_estimate(server)
+    balancer.no_room_until, balancer.is_fleet_renewing = 110.0, True
+    return balancer, host, servers
 
 
 @pytest.mark.parametrize(
@@ -1173,61 +1208,61 @@
 ) -> None:
     # All old servers were full, its home too, and each of the few new ones got a tunnel of each group. Its
     # home takes it up to the load that moves leave, others up to less by AWAY a place, however long it waits.
-    bal, _, servers = crowded(load=load)
-    tun = make_tunnel(bal, left=left, group="g")
-    place = {ep: bal._affinity_distance(tun, ep) / 2**64 * len(servers) for ep in servers}
-    got = set(bal._select_candidates(tun, 100.0))
+    balancer, _, servers = crowded(load=load)
+    tunnel = make_tunnel(balancer, remaining=left, group="g")
+    place = {server: balancer._affinity_distance(tunnel, server) / 2**64 * len(servers) for server in servers}
+    got = set(balancer._select_candidates(tunnel, 100.0))
     assert got == {
-        ep
-        for ep in servers
+        server
+        for server in servers
         if load < MAX_MIGRATION_TARGET
-        and place[ep] < PREFERRED_SERVERS + (MAX_MIGRATION_TARGET - load) / AFFINITY_DISTANCE_PENALTY
+        and place[server] < PREFERRED_SERVERS + (MAX_MIGRATION_TARGET - load) / AFFINITY_DISTANCE_PENALTY
     }
-    assert all(place[ep] < within for ep in got) and (not got) is (load >= MAX_MIGRATION_TARGET)
-    assert len(bal._select_candidates(make_tunnel(bal, left=left), 100.0)) == (
+    assert all(place[server] < within for server in got) and (not got) is (load >= MAX_MIGRATION_TARGET)
+    assert len(balancer._select_candidates(make_tunnel(balancer, remaining=left), 100.0)) == (
         40 if load < MAX_LOAD_LIMIT else 0
     )
 
 
 def test_a_server_that_holds_a_group_is_its_home_while_the_fleet_is_renewed() -> None:
-    bal, _, servers = crowded(load=MAX_MIGRATION_TARGET - 0.01)
-    tun = make_tunnel(bal, group="g")
-    far = max(servers, key=lambda ep: bal._affinity_distance(tun, ep))
-    assert far not in bal._select_candidates(tun, 100.0)
-    bal.tunnel_inherited(make_tunnel(bal, group="g"), far, 99.0)
-    assert far in bal._select_candidates(tun, 100.0)
+    balancer, _, servers = crowded(load=MAX_MIGRATION_TARGET - 0.01)
+    tunnel = make_tunnel(balancer, group="g")
+    far = max(servers, key=lambda server: balancer._affinity_distance(tunnel, server))
+    assert far not in balancer._select_candidates(tunnel, 100.0)
+    balancer.tunnel_inherited(make_tunnel(balancer, group="g"), far, 99.0)
+    assert far in balancer._select_candidates(tunnel, 100.0)
 
 
 def test_a_server_that_is_to_be_asked_again_is_not_kept_from_a_group_for_what_it_told_long_ago() -> None:
     # Where all reports were old and full, nobody was asked for a new one while tunnels were turned away.
-    bal, notes, servers = crowded(load=0.9)
-    bal.probe_credit = 1.0
-    for ep in servers:
-        ep.reported_at = ep.answered_at = 90.0
-    bal._place(make_tunnel(bal, left=1.6, group="g"), 100.0)
-    assert notes.request_names() == ["probe"]
+    balancer, host, servers = crowded(load=0.9)
+    balancer.probe_credit = 1.0
+    for server in servers:
+        server.reported_at = server.answered_at = 90.0
+    balancer._place(make_tunnel(balancer, remaining=1.6, group="g"), 100.0)
+    assert host.request_names() == ["probe"]
 
 
 def test_a_tunnel_that_found_nothing_near_its_home_does_not_speak_for_other_groups() -> None:
-    bal, notes, servers = crowded(load=0.0)
-    first = make_tunnel(bal, group="g")
-    (only,) = bal._preferred_servers(first, servers)[:1]
+    balancer, host, servers = crowded(load=0.0)
+    first = make_tunnel(balancer, group="g")
+    (only,) = balancer._preferred_servers(first, servers)[:1]
     other = next(
         group
         for group in map(str, range(99))
-        if only in bal._preferred_servers(make_tunnel(bal, group=group), servers)
+        if only in balancer._preferred_servers(make_tunnel(balancer, group=group), servers)
     )
-    for ep in servers:  # all full, but one that is near the other group's home alone
-        ep.estimated_load = 0.0 if ep is only else 9.0
+    for server in servers:  # all full, but one that is near the other group's home alone
+        server.estimated_load = 0.0 if server is only else 9.0
     far = next(
         group for group in map(str, range(99))
-        if not bal._select_ready(make_tunnel(bal, group=group), [only], 100.0)
+        if not balancer._select_ready(make_tunnel(balancer, group=group), [only], 100.0)
     )  # fmt: skip
     for group in (far, other):
-        bal._enqueue(make_tunnel(bal, group=group), 100.0)
-    bal.probe_credit = 0.0
-    bal._serve_queue(100.0)
-    assert [asked[2] for asked in notes.requests if asked[0] == "setup"] == [only]
+        balancer._enqueue(make_tunnel(balancer, group=group), 100.0)
+    balancer.probe_credit = 0.0
+    balancer._serve_queue(100.0)
+    assert [asked[2] for asked in host.requests if asked[0] == "setup"] == [only]
 
 
 @pytest.mark.parametrize(
@@ -1237,14 +1272,14 @@
     started: float, budget: float, ready: bool
 ) -> None:
     # It was held for as full as the mean, and with no credit for a probe it stayed empty for its warm-up.
-    bal, _, servers = crowded(load=0.9)
-    bal.probe_credit, bal.last_pass_at = 0.0, 100.0
-    bal.update_servers([ServerEntry("new", "active", 0, 0, 0, started, 1.0)], False, False, 100.0)
-    new = bal.servers["new"]
-    bal.mean_load = 0.9
-    bal._update_load_estimate(new)
+    balancer, _, servers = crowded(load=0.9)
+    balancer.probe_credit, balancer.last_pass_at = 0.0, 100.0
+    balancer.update_servers([ServerEntry("new", "active", 0, 0, 0, started, 1.0)], False, False, 100.0)
+    new = balancer.servers["new"]
+    balancer.mean_load = 0.9
+    balancer._update_load_estimate(new)
     new.slow_start_budget, new.budget_updated_at, new.budget_initialised = budget, 100.0, True
-    assert (new in bal._select_ready(make_tunnel(bal), [new, *servers], 100.0)) is ready
+    assert (new in balancer._select_ready(make_tunnel(balancer), [new, *servers], 100.0)) is ready
 
 
 @pytest.mark.parametrize(
@@ -1256,19 +1291,19 @@
 ) -> None:
     # With 200 balancers, the few with room went from half full to overdriven while reports were a second old.
     # Without servers that are new, in a steady overload, the same kept room empty.
-    bal, notes, servers = make_balancer([0.5] * 4, balancer_count=balancers)
-    bal.probe_credit, bal.recent_arrival_rate, bal.arrivals = 1.0, lately, round(lately / 2)
-    bal.last_pass_at, bal.load_per_tunnel = 99.5, 0.02
-    for ep in servers:
-        ep.reported_load = 0.5
-        bal._update_load_estimate(ep)
-    for ep in servers[:new]:  # warm again, a while ago
-        ep.start_listed, ep.warm_at = True, 90.0
-    bal.may_probe = False
-    bal._run_control_pass(100.0)
-    bal.may_probe = True
-    bal._place(make_tunnel(bal), 100.6)
-    assert ("probe" in notes.request_names()) is asked
+    balancer, host, servers = make_balancer([0.5] * 4, balancer_count=balancers)
+    balancer.probe_credit, balancer.recent_arrival_rate, balancer.arrivals = 1.0, lately, round(lately / 2)
+    balancer.last_pass_at, balancer.load_per_tunnel = 99.5, 0.02
+    for server in servers:
+        server.reported_load = 0.5
+        balancer._update_load_estimate(server)
+    for server in servers[:new]:  # warm again, a while ago
+        server.start_listed, server.warm_at = True, 90.0
+    balancer.may_probe = False
+    balancer._run_control_pass(100.0)
+    balancer.may_probe = True
+    balancer._place(make_tunnel(balancer), 100.6)
+    assert ("probe" in host.request_names()) is asked
 
 
 @pytest.mark.parametrize(
@@ -1280,20 +1315,20 @@
     # One with room for 17 among 200 balancers, at each of which one tunnel came: all took it.
     sent = 0
     for seed in range(200):
-        bal, _, (ep, *full) = make_balancer([0.3, 0.9, 0.9], balancer_count=200)
-        bal.uniform, bal.load_per_tunnel, bal.probe_credit, bal.recent_arrival_rate = (
+        balancer, _, (server, *full) = make_balancer([0.3, 0.9, 0.9], balancer_count=200)
+        balancer.uniform, balancer.load_per_tunnel, balancer.probe_credit, balancer.recent_arrival_rate = (
             Random(seed).uniform,
             0.02,
             1.0,
             lately,
         )
-        bal.is_fleet_renewing = renewed
+        balancer.is_fleet_renewing = renewed
         for one in full:
             one.reported_load = one.estimated_load = 0.9
-        ep.reported_at = ep.answered_at = 90.0
-        bal._place(make_tunnel(bal), 100.0)
-        bal.probe_ended(ep, "ok", {"load": 0.3}, 100.0)
-        sent += len(ep.unreported_placements)
+        server.reported_at = server.answered_at = 90.0
+        balancer._place(make_tunnel(balancer), 100.0)
+        balancer.probe_ended(server, "ok", {"load": 0.3}, 100.0)
+        sent += len(server.unreported_placements)
     assert 50 < sent <= most
 
 
@@ -1305,55 +1340,59 @@
     told: str, balancers: int, ready: set[int]
 ) -> None:
     # A large group's homes got all of it, as nothing told that they were full; a cold one as many as others.
-    bal, _, servers = make_balancer(
+    balancer, _, servers = make_balancer(
         [6.0, 6.0, 6.0, 9.0, 2.0], balancer_count=balancers, report_fields=(told,)
     )
-    make_cold(bal, servers[4], 100.0, 1.0)
-    for ep in servers:
-        ep.reported_load = (ep.reported_busy or 0.0) * bal.reports_load
-        ep.answered_at = 100.0
-    bal._update_fleet_estimates(0.1)
-    room = bal._select_with_capacity(make_tunnel(bal, group="g"), servers, 100.0)
-    assert {servers.index(ep) for ep in room} == ready
+    make_cold(balancer, servers[4], 100.0, 1.0)
+    for server in servers:
+        server.reported_load = (server.reported_busy or 0.0) * balancer.reports_load
+        server.answered_at = 100.0
+    balancer._update_fleet_estimates(0.1)
+    room = balancer._select_with_capacity(make_tunnel(balancer, group="g"), servers, 100.0)
+    assert {servers.index(server) for server in room} == ready
 
 
 @pytest.mark.parametrize("waiting", [1, 20])
 def test_a_mass_arrival_is_not_let_in_one_by_one_where_loads_are_not_told(waiting: int) -> None:
     # Five balancers before four empty servers: 1.25 times a mean of nought let each take one a round.
-    bal, _, servers = make_balancer([0.0] * 4, balancer_count=5, report_fields=("connections",))
+    balancer, _, servers = make_balancer([0.0] * 4, balancer_count=5, report_fields=("connections",))
     for _ in range(waiting):
-        bal._enqueue(make_tunnel(bal), 100.0)
-    bal._update_fleet_estimates(0.1)
+        balancer._enqueue(make_tunnel(balancer), 100.0)
+    balancer._update_fleet_estimates(0.1)
     servers[0].reported_busy = 20.0
-    assert (servers[0] in bal._select_with_capacity(make_tunnel(bal), servers, 100.0)) is (waiting > 1)
+    assert (servers[0] in balancer._select_with_capacity(make_tunnel(balancer), servers, 100.0)) is (
+        waiting > 1
+    )
 
 
 def test_servers_that_are_ejected_do_not_tell_what_the_others_may_take() -> None:
     # Half of them hang: what they held goes to the others, which are not full at 1.25 times what both held.
-    bal, _, servers = make_balancer([4.0, 4.0, 8.0, 8.0], balancer_count=5, report_fields=("connections",))
-    for ep in servers[:2]:
-        ep.ejected_until = 110.0
-    bal._update_fleet_estimates(0.1)
-    assert servers[2] in bal._select_with_capacity(make_tunnel(bal), servers, 100.0)
+    balancer, _, servers = make_balancer(
+        [4.0, 4.0, 8.0, 8.0], balancer_count=5, report_fields=("connections",)
+    )
+    for server in servers[:2]:
+        server.ejected_until = 110.0
+    balancer._update_fleet_estimates(0.1)
+    assert servers[2] in balancer._select_with_capacity(make_tunnel(balancer), servers, 100.0)
 
 
 def test_a_restart_that_is_told_while_a_setup_is_dialled_has_a_budget_of_its_own() -> None:
-    bal, _, (ep,) = make_balancer([0.1])
-    tun = make_tunnel(bal)
-    bal.tunnel_arrived(tun, False, 100.0)
-    bal.update_servers([ServerEntry(ep.name, "active", 0, 0, 0, 100.05, 1.0)], False, False, 100.1)
-    ep.slow_start_budget, ep.budget_updated_at = 0.0, 100.1
-    assert not bal.may_write_request(tun, 0, 100.11)
+    balancer, _, (server,) = make_balancer([0.1])
+    tunnel = make_tunnel(balancer)
+    balancer.tunnel_arrived(tunnel, False, 100.0)
+    balancer.update_servers([ServerEntry(server.name, "active", 0, 0, 0, 100.05, 1.0)], False, False, 100.1)
+    server.slow_start_budget, server.budget_updated_at = 0.0, 100.1
+    assert not balancer.may_write_request(tunnel, 0, 100.11)
 
 
 def test_a_silent_server_is_left_in_time_also_where_setup_goals_are_long() -> None:
-    bal, notes, _ = make_balancer(
+    balancer, host, _ = make_balancer(
         [0.1, 0.1], profiles=(replace(REPEATABLE, attempt_timeout=2.0, client_timeout=9.0),)
     )
-    tun = make_tunnel(bal)
-    bal.tunnel_arrived(tun, False, 100.0)
-    bal.setup_opened(tun, 0, 100.1)
-    bal.record_silence(tun, 5.0, 105.2)
-    assert "migrate" not in notes.request_names()
-    bal.record_silence(tun, 6.1, 106.3)
-    assert "migrate" in notes.request_names()
+    tunnel = make_tunnel(balancer)
+    balancer.tunnel_arrived(tunnel, False, 100.0)
+    balancer.setup_opened(tunnel, 0, 100.1)
+    balancer.record_silence(tunnel, 5.0, 105.2)
+    assert "migrate" not in host.request_names()
+    balancer.record_silence(tunnel, 6.1, 106.3)
+    assert "migrate" in host.request_names()
