--- a/pointgw/policy.py
+++ b/pointgw/policy.py
@@ -21,94 +21,62 @@
 
 from pointgw.interface import Ending, Host, Profile, Report, ServerEntry, Site
 
-WINDOW_OFFERS, MIN_WINDOW_OFFERS, MAX_WINDOW_SECONDS = (
-    20,
-    10,
-    10.0,
-)  # offers to one of SR_dyn; its least; seconds at most
-LOW_ACCEPTANCE_RATIO, HIGH_ACCEPTANCE_RATIO = 0.4, 0.6  # acceptance under which c rises, over which it falls
-DEFAULT_LOAD_STEP = 0.05  # of c, for a fractional busy figure
-NOT_EXECUTED_ENDINGS = ("full", "no-connection", "moot")
-PERIODIC_PROBE_SHARE, CANDIDATE_PROBE_SHARE = (
-    0.005,
-    0.012,
-)  # of the credit asked for: probes by the clock, asking candidates
-MAX_REPORT_AGE_FOR_OFFER, MAX_REPORT_AGE_FOR_REFUSAL = (
-    4,
-    10,
-)  # setup goals for which a report is taken as it is; tells who has room, if not asked
-RESERVED_PROBES = 4  # probes that are kept for the candidates of the next tunnel
-MIN_SUBSET_SIZE = 8  # servers in a part of the list, and balancers to one, at least
-INITIAL_ARRIVAL_RATE = 0.5  # tunnels a second to a server, until the own arrivals tell
-RETRY_BUDGET_GAIN = 0.2  # further setups that each tunnel opened, and each round, earns
-SLOW_START_SAFETY_FACTOR = 0.8  # of a cold server's budget that is spent, for chance and uneven tunnels
-INFERRED_START_FACTOR = 0.6  # of that, where its start is inferred: balancers may be more than stated
-SLOW_START_CARRY_OVER = 0.25  # of the tip span: how long what was not spent of it is kept, 1 / COLD_SAFE - 1
-GOLDEN_RATIO_CONJUGATE = (
-    5**0.5 - 1
-) / 2  # its multiples lie evenly in 0 to 1, however many, and whichever are left out
-MAX_RELATIVE_SIZE = 2.0  # times the mean size that a server's listed size counts at most
-MAX_QUEUE_TIME_SHARE = 0.5  # of the client timeout: how long a tunnel waits for a ready server
-PLACEMENT_REPORT_DELAY, MIGRATION_REPORT_DELAY = (
-    2,
-    4,
-)  # setup goals until a placement, or a move off, shows in the reports
-HISTORY_SECONDS = 30.0  # seconds over which rates and the highest busy figure are remembered
-MIN_OBSERVED_TUNNELS, LOAD_ESTIMATE_MARGIN = (
-    8,
-    2.0,
-)  # own tunnels from which a report tells what one adds at most; times that, for chance
-MIN_LOAD_PER_TUNNEL = DEFAULT_LOAD_STEP / 100  # load that a tunnel adds at least, whatever reports tell
-MAX_OBSERVED_TUNNELS = round(
-    LOAD_ESTIMATE_MARGIN / MIN_LOAD_PER_TUNNEL
-)  # own tunnels beyond which a report of load 1 tells no less
-MAX_UNREPORTED_LOAD = 0.1  # load that may have been added since a report before the next is asked for
-MAX_LOAD_LIMIT, MIN_LOAD_LIMIT = (
-    0.65,
-    0.5,
-)  # load over capacity at which a server is not ready for more, and its least;
-LOAD_LIMIT_OVER_MEAN = 1.2  # that limit lies this far above the fleet's mean, between the two
-MAX_MIGRATION_TARGET, MIGRATION_MARGIN = (
-    1.25 * MAX_LOAD_LIMIT,
-    0.2,
-)  # load that open tunnels are moved off down to; over it, from which
-FEW_OWN_TUNNELS = 3  # own tunnels at a server over which probes of it are paid for by those that stand
-AFFINITY_DISTANCE_PENALTY = (
-    0.06  # load that a server must have less for each place that it lies away from a group's home
-)
-FLEET_RENEWAL_SHARE = (
-    1 / 8
-)  # of the servers: if more started within two cold times, the fleet is being renewed
-MAX_UNPLACED_GROUPS = (
-    2  # groups that find nothing ready near home, after which the others wait for the next look
-)
-SCARCITY_DURATION = 8  # setup goals for which a tunnel turned away tells that room is scarce
-MIN_FAILURES_FOR_PAUSE, MAX_PAUSE_DOUBLINGS = (
-    2,
-    4,
-)  # setups in a row not opened, after which one is out at a time; doublings of its pause
-PREFERRED_SERVERS = 2  # ready servers at the head of a group's own order, of which candidates are drawn
-HASH_MULTIPLIER, MAX_HASH = 0x9E3779B97F4A7C15, 2**64 - 1  # spread marks evenly over 64 bits
-UNSTABLE_PAUSE_FACTOR = (
-    1.5  # times the longest that a server which fails by turns stayed up: how long it must be back
-)
-RESTART_LOAD_RATIO = (
-    0.5  # of the figure it had: under this a server that had no process is taken to be a new one
-)
-MIN_BROKEN_TUNNELS = 2  # own tunnels that a server breaks at one moment: its process may be gone
-MIN_PROCESS_LOSSES = (
-    2  # servers without a process: more may be gone, and if no list told of them since, power was lost
-)
-QUICK_MESSAGE_DELAY, SLOW_MESSAGE_DELAY = (
-    0.1,
-    0.5,
-)  # of the setup goal: messages that show a server has caught up, or piles work up
-ASSUMED_OVERLOAD = 1.2  # load that such a server is taken to have at least, until the next report
-RECOVERING_DELAY_RATIO = 0.85  # of the delay told before: under this the server works off what is piled up
-SILENCE_TIMEOUT = 8  # setup goals without an answer after which an open tunnel's server is taken to be gone;
-MAX_SILENCE_SECONDS = (
-    6.0  # seconds at most: the protocol gives it 7 s, of which clients' lines and looks take some
-)
+WINDOW_OFFERS = 20  # first offers after which SR_dyn adapts c
+MIN_WINDOW_OFFERS = 10  # first offers that a window closed by time needs to change c
+MAX_WINDOW_SECONDS = 10.0  # a window with fewer offers is closed after this time
+LOW_ACCEPTANCE_RATIO = 0.4  # acceptance ratio of first offers below which c rises
+HIGH_ACCEPTANCE_RATIO = 0.6  # acceptance ratio of first offers above which c falls
+DEFAULT_LOAD_STEP = 0.05  # step of c, and load of one tunnel until known, where the busy figure is a fraction
+NOT_EXECUTED_ENDINGS = ("full", "no-connection", "moot")  # these prove that a setup was not executed
+PERIODIC_PROBE_SHARE = 0.005  # credit per arriving tunnel that pays for periodic probes
+CANDIDATE_PROBE_SHARE = 0.012  # credit per arriving tunnel that pays for probes of its candidates
+MAX_REPORT_AGE_FOR_OFFER = 4  # attempt timeouts; a candidate with an older report is probed before an offer
+MAX_REPORT_AGE_FOR_REFUSAL = 10  # attempt timeouts; an older report excludes no server that can be probed
+RESERVED_PROBES = 4  # probes whose credit is reserved for the candidates of the next tunnels
+MIN_SUBSET_SIZE = 8  # servers in a subset of the list, and balancers for each subset
+INITIAL_ARRIVAL_RATE = 0.5  # tunnels a second for each server, until own arrivals are measured
+RETRY_BUDGET_GAIN = 0.2  # further setups allowed for each opened tunnel and each control pass
+SLOW_START_SAFETY_FACTOR = 0.8  # used share of a cold server's budget; the rest covers chance, uneven tunnels
+INFERRED_START_FACTOR = 0.6  # of the budget where the start is inferred: balancers may be more than stated
+SLOW_START_CARRY_OVER = 0.25  # overload windows that unused budget is kept: 1 / SLOW_START_SAFETY_FACTOR - 1
+# Its multiples modulo 1 lie evenly in 0 to 1, however many there are and whichever are left out.
+GOLDEN_RATIO_CONJUGATE = (5**0.5 - 1) / 2
+MAX_RELATIVE_SIZE = 2.0  # cap on a server's listed size, in mean sizes
+MAX_QUEUE_TIME_SHARE = 0.5  # share of the client timeout for which a tunnel waits for a ready server
+PLACEMENT_REPORT_DELAY = 2  # attempt timeouts until a placement shows in the reports
+MIGRATION_REPORT_DELAY = 4  # attempt timeouts until a migration shows in the reports
+HISTORY_SECONDS = 30.0  # time over which rates, the peak busy figure and failures are remembered
+MIN_OBSERVED_TUNNELS = 8  # opened own tunnels from which a report bounds the load of one tunnel
+LOAD_ESTIMATE_MARGIN = 2.0  # factor on that bound, as tunnels are uneven
+MIN_LOAD_PER_TUNNEL = DEFAULT_LOAD_STEP / 100  # lower bound, whatever is reported
+# More own tunnels than this give no lower bound at a reported load of 1.
+MAX_OBSERVED_TUNNELS = round(LOAD_ESTIMATE_MARGIN / MIN_LOAD_PER_TUNNEL)
+MAX_UNREPORTED_LOAD = 0.1  # load that may be added after a report before a probe is due
+MAX_LOAD_LIMIT = 0.65  # load over capacity at which a server is not ready for more, at most
+MIN_LOAD_LIMIT = 0.5  # the same, at least
+LOAD_LIMIT_OVER_MEAN = 1.2  # the limit is this multiple of the fleet's mean load, within the two bounds
+# Load down to which open tunnels are migrated, at most; excess over the target from which they are.
+MAX_MIGRATION_TARGET, MIGRATION_MARGIN = 1.25 * MAX_LOAD_LIMIT, 0.2
+FEW_OWN_TUNNELS = 3  # open own tunnels at a server; those above this number pay for probes of it
+AFFINITY_DISTANCE_PENALTY = 0.06  # reduction of a server's load limit per place from a group's preferred ones
+FLEET_RENEWAL_SHARE = 1 / 8  # share of servers started within two warm-up windows that means a fleet renewal
+MAX_UNPLACED_GROUPS = 2  # groups without a ready server after which the queue waits for the next timer
+SCARCITY_DURATION = 8  # attempt timeouts for which capacity counts as scarce after an unopened tunnel
+MIN_FAILURES_FOR_PAUSE = 2  # setups unopened in a row from which one is in progress at a time, after a pause
+MAX_PAUSE_DOUBLINGS = 4  # doublings of that pause at most
+PREFERRED_SERVERS = 2  # ready servers from the head of a group's own order that are candidates
+HASH_MULTIPLIER, MAX_HASH = 0x9E3779B97F4A7C15, 2**64 - 1  # spreads combined hashes evenly over 64 bits
+UNSTABLE_PAUSE_FACTOR = 1.5  # pause before an unstable server is ready again, in its longest uptimes
+RESTART_LOAD_RATIO = 0.5  # share of its former figure below which a server that returns counts as restarted
+MIN_BROKEN_TUNNELS = 2  # own tunnels broken by a server at one moment that suggest a restart
+# Servers without a process from which more may be lost; where no list told of them since, power was lost.
+MIN_PROCESS_LOSSES = 2
+QUICK_MESSAGE_DELAY = 0.1  # attempt timeouts; message delay that shows a server has caught up
+SLOW_MESSAGE_DELAY = 0.5  # attempt timeouts; message delay that shows a server piles up work
+ASSUMED_OVERLOAD = 1.2  # least load assumed of a slow server until its next report
+RECOVERING_DELAY_RATIO = 0.85  # of the delay before; below it a slow server works off its backlog
+SILENCE_TIMEOUT = 8  # attempt timeouts without a message after which an open tunnel's server counts as gone
+MAX_SILENCE_SECONDS = 6.0  # cap: the protocol allows 7 s, part of which client connections and checks need
 
 
 def _hash_name(name: str) -> int:
