--- a/pointgw/policy.py
+++ b/pointgw/policy.py
@@ -1,12 +1,28 @@
-"""Every decision of the balancer. No I/O, no clock, no words of any wire.
-
-Hand the list in with `update_servers`, make each tunnel with `new_tunnel`, report it with
-`tunnel_arrived` (or `tunnel_inherited`) and then what happens to it; `probe_ended`, `list_request_failed` and
-`timer_due` (asked for by `Host.set_timer`) are the rest. Times: seconds of the host's clock. Actions,
-settings, endings: `pointgw/interface.py`. docs/design.md tells why.
-
-The ordinary path is SRLB's: `_draw` two ready servers, `_offer` the tunnel to the first against the
-threshold c, which `_steer` keeps where half of the first offers are accepted (SR_dyn).
+"""The balancer's decisions: which server gets a tunnel, when, and what happens to it afterwards.
+
+This module does no I/O, reads no clock and knows no wire format. A host reports events by calling the methods
+of `Balancer` and carries out the actions that these request of `Host` (see `pointgw/interface.py`, which also
+defines settings and endings). All times are seconds of the host's clock. docs/design.md gives the reasons.
+
+Events: `update_servers` takes the server list. `new_tunnel` makes a tunnel, `tunnel_arrived` or
+`tunnel_inherited` report it, `setup_opened`, `setup_ended`, `client_left` and the `record_*` methods what
+happens to it. `probe_ended`, `list_request_failed` and `timer_due` (requested by `Host.set_timer`) follow up
+the balancer's own requests.
+
+How a tunnel is placed:
+
+- `_select_candidates` keeps the servers that are eligible by rule 2 and ready: not ejected after failures,
+  with an estimated load under the limit and, while cold, with slow-start budget left (rule 4).
+- `_draw_candidates` draws two of them. Tunnels of a group go to servers that hold the group already or are
+  preferred by it (affinity), as a server pays for a group once.
+- `_offer` makes the SRLB offer: the first candidate accepts if its busy figure is under the threshold c,
+  else the second one must take the tunnel. A candidate with an outdated report is probed first.
+- `_adapt_threshold` moves c so that about half of the first offers are accepted (SR_dyn).
+- A tunnel without a ready server is queued, and declined or closed with error before its deadline (rule 1).
+
+What runs beside this: a control pass once per attempt timeout updates the estimates of load and sends
+periodic probes, which are paid from the probe credit that own tunnels earn; a report of overload makes
+`_migrate_excess` move open tunnels off the server.
 """
 
 from __future__ import annotations
@@ -26,7 +42,7 @@
 MAX_WINDOW_SECONDS = 10.0  # a window with fewer offers is closed after this time
 LOW_ACCEPTANCE_RATIO = 0.4  # acceptance ratio of first offers below which c rises
 HIGH_ACCEPTANCE_RATIO = 0.6  # acceptance ratio of first offers above which c falls
-DEFAULT_LOAD_STEP = 0.05  # step of c, and load of one tunnel until known, where the busy figure is a fraction
+DEFAULT_LOAD_STEP = 0.05  # load of one tunnel until known; step of c where the busy figure is a fraction
 NOT_EXECUTED_ENDINGS = ("full", "no-connection", "moot")  # these prove that a setup was not executed
 PERIODIC_PROBE_SHARE = 0.005  # credit per arriving tunnel that pays for periodic probes
 CANDIDATE_PROBE_SHARE = 0.012  # credit per arriving tunnel that pays for probes of its candidates
@@ -62,7 +78,7 @@
 FLEET_RENEWAL_SHARE = 1 / 8  # share of servers started within two warm-up windows that means a fleet renewal
 MAX_UNPLACED_GROUPS = 2  # groups without a ready server after which the queue waits for the next timer
 SCARCITY_DURATION = 8  # attempt timeouts for which capacity counts as scarce after an unopened tunnel
-MIN_FAILURES_FOR_PAUSE = 2  # setups unopened in a row from which one is in progress at a time, after a pause
+MIN_FAILURES_FOR_PAUSE = 2  # setups unopened in a row, after which one is made at a time, each after a pause
 MAX_PAUSE_DOUBLINGS = 4  # doublings of that pause at most
 PREFERRED_SERVERS = 2  # ready servers from the head of a group's own order that are candidates
 HASH_MULTIPLIER, MAX_HASH = 0x9E3779B97F4A7C15, 2**64 - 1  # spreads combined hashes evenly over 64 bits
@@ -80,15 +96,15 @@
 
 
 def _hash_name(name: str) -> int:
-    """The same figure for a name at every balancer."""
+    """Gives a 64-bit hash of a name that is the same at every balancer."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 class State(Enum):
-    """Where a tunnel stands."""
+    """The state of a tunnel; the values appear in error messages."""
 
-    QUEUED = "held"  # no setup is out; it waits for a server
-    PROBING = "asking"  # no setup is out; one of its two candidates is asked for its load
+    QUEUED = "queued"  # no setup in progress; waits for a server
+    PROBING = "probing"  # no setup in progress; waits for the probe of a candidate
     SETTING_UP = "setting up"
     OPEN = "open"
     ENDED = "ended"
@@ -102,10 +118,10 @@
 
 
 class Setup:
-    """One try to set a tunnel up at a server."""
+    """One attempt to set a tunnel up at a server."""
 
     __slots__ = (
-        "erred",
+        "ended_in_error",
         "in_progress",
         "may_have_run",
         "sent_at",
@@ -116,33 +132,42 @@
 
     def __init__(self, server: Server, now: float) -> None:
         self.server, self.sent_at, self.in_progress, self.may_have_run = server, now, True, True
-        self.server_started_at = server.started_at  # of the process that it was chosen for
-        self.was_opened = self.erred = False  # the tunnel was opened by it; it ended in an error
+        self.server_started_at = server.started_at  # identifies the process that was selected
+        self.was_opened = self.ended_in_error = False
 
 
 class Tunnel:
-    """One client connection, from its arrival to its end."""
+    """One client's request and its connection, from arrival to end."""
 
     def __init__(
-        self, name: str, profile: Profile, tenant: int, key: str, group: str, deadline: float, back: bool
+        self,
+        name: str,
+        profile: Profile,
+        tenant: int,
+        key: str,
+        group: str,
+        deadline: float,
+        is_returning: bool,
     ) -> None:
         self.name, self.profile, self.tenant, self.key, self.group = name, profile, tenant, key, group
-        self.deadline, self.is_returning, self.group_hash = deadline, back, _hash_name(group)
+        self.deadline, self.is_returning, self.group_hash = deadline, is_returning, _hash_name(group)
         self.state = State.QUEUED
         self.setups: list[Setup] = []
-        self.candidates: list[Server] = []  # its two candidates, while one of them is asked
-        self.refusal_reason = ""  # it was answered unopened
-        self.load, self.planned_zone = (
-            0.0,
-            -1,
-        )  # work a second, where it is told; where the tier's plan has it
+        self.candidates: list[Server] = []  # one or two, while an offer waits for a probe
+        self.refusal_reason = ""  # set when the tunnel is answered unopened
+        # Reported work a second, 0 if unknown; zone that the cluster's plan assigns, -1 if none.
+        self.load, self.planned_zone = 0.0, -1
 
     @property
     def is_finished(self) -> bool:
+        """Whether the tunnel has ended and no setup of it is in progress."""
         return self.state is State.ENDED and not any(s.in_progress for s in self.setups)
 
     def transition_to(self, state: State) -> None:
-        """The one place where a tunnel changes state."""
+        """Changes the state and keeps the server's table of open tunnels up to date.
+
+        Nothing else sets the state. Raises ValueError if the transition is not allowed.
+        """
         if state not in ALLOWED_TRANSITIONS[self.state]:
             raise ValueError(f"tunnel {self.name}: {self.state.value} cannot become {state.value}")
         server = self.setups[-1].server if self.setups else None
@@ -158,79 +183,53 @@
 
 
 class Server:
-    """All that is known of one server."""
+    """What this balancer knows of one server."""
 
     def __init__(self, name: str) -> None:
         self.name, self.name_hash = name, _hash_name(name)
         self.cell, self.zone, self.started_at, self.relative_size = 0, 0, 0.0, 1.0
         self.active = self.listed = self.stale = False
-        self.tunnels: dict[Tunnel, None] = {}  # open here, oldest first
-        self.tunnels_by_group: dict[str, int] = {}  # of those, how many of each group
-        self.pending_setups, self.probing, self.probe_due = (
-            0,
-            False,
-            0.0,
-        )  # own setups out; a probe out; the next
-        self.tunnels_awaiting_probe: list[Tunnel] = []  # tunnels that wait for the answer to a probe
-        self.process_missing, self.previous_warm_at = (
-            False,
-            0.0,
-        )  # found without a process, not heard since; `warm_at` before
-        self.broken_tunnels, self.broken_at, self.refused_at = (
-            0,
-            -inf,
-            -inf,
-        )  # tunnels broken at a moment; both, when
-        self.unconfirmed = False  # no list has told of it since this balancer started
-        self.recovered_at, self.longest_uptime = (
-            -inf,
-            0.0,
-        )  # last back from being down; the longest up lately in between
-        self.unstable_until = 0.0  # not ready before this, as it fails by turns
+        self.tunnels: dict[Tunnel, None] = {}  # own open tunnels, oldest first
+        self.tunnels_by_group: dict[str, int] = {}  # number of own open tunnels of each group
+        # Own setups in progress; whether a probe is in progress; when the next probe is due.
+        self.pending_setups, self.probing, self.probe_due = 0, False, 0.0
+        self.tunnels_awaiting_probe: list[Tunnel] = []
+        # Whether it was found without a process and has not answered since; `warm_at` before that.
+        self.process_missing, self.previous_warm_at = False, 0.0
+        # Own tunnels that it broke at one moment; when; when it last refused a connection.
+        self.broken_tunnels, self.broken_at, self.refused_at = 0, -inf, -inf
+        self.unconfirmed = False  # no list has told of its process since this balancer started
+        # When it last returned without a process missing; its longest uptime between recent failures.
+        self.recovered_at, self.longest_uptime = -inf, 0.0
+        self.unstable_until = 0.0  # not ready before this time, as it failed repeatedly
         self.reset()
 
     def reset(self) -> None:
-        """A process that has just started is not what the one before it was."""
-        self.reported_busy: float | None = None  # of the latest report; None: unheard
+        """Forgets what applied to the former process of the server."""
+        self.reported_busy: float | None = None  # busy figure of the latest report; None: no report
         self.reported_load = 0.0  # load over capacity of the latest report
-        self.reported_at = self.answered_at = -inf  # when a report, or the answer to a probe, came
-        self.unreported_placements: list[
-            float
-        ] = []  # when own placements were made that the report does not show yet
-        self.unreported_openings: deque[float] = deque(
-            maxlen=MAX_OBSERVED_TUNNELS
-        )  # of those, the ones it has opened
-        self.estimate_due = inf  # when a report shows enough of these
-        self.max_load_per_tunnel, self.max_load_per_tunnel_at = (
-            inf,
-            -inf,
-        )  # load that one of them adds at most, by a report; when
-        self.migrated_at, self.migrated_share = (
-            0.0,
-            0.0,
-        )  # when tunnels were last moved off, and which part of them
-        self.message_delay, self.ejected_for_delay = (
-            0.0,
-            False,
-        )  # of the latest slow message; suspended for such
-        self.assumed_peer_load, self.estimated_load = (
-            0.0,
-            -inf,
-        )  # load that others may add by chance; that tells of room
-        self.warm_at = 0.0  # when a process that started lately has its full capacity at the latest
-        self.start_inferred = False  # that is inferred: no list told of its start
+        self.reported_at = self.answered_at = -inf  # latest report; latest report or end of a probe
+        self.unreported_placements: list[float] = []  # times of own placements not yet in a report
+        self.unreported_openings: deque[float] = deque(maxlen=MAX_OBSERVED_TUNNELS)  # those that were opened
+        self.estimate_due = inf  # when a report will include enough of these for an estimate
+        # Upper bound of the load of one tunnel by a report; when it was made.
+        self.max_load_per_tunnel, self.max_load_per_tunnel_at = inf, -inf
+        self.migrated_at, self.migrated_share = 0.0, 0.0  # latest migration of own tunnels; their share
+        self.message_delay, self.ejected_for_delay = 0.0, False  # seconds of the latest reported message
+        # Random estimate of the load that other balancers add; the estimate by which it is ready.
+        self.assumed_peer_load, self.estimated_load = 0.0, -inf
+        self.warm_at = 0.0  # latest time at which a recently started process has its full capacity
+        self.start_inferred = False  # its start was inferred; no list told it
         self.start_listed = False  # the list told its start
-        self.is_staggered = (
-            False  # balancers' first tunnels to it lie evenly apart, by the start that was told
-        )
-        self.budget_initialised = False  # what this balancer may send it was reckoned since
-        self.recent_failures, self.ejected_until = 0, 0.0  # failures lately; not ready before this
-        self.trial_due = 0.0  # when it may be tried though suspended, where nothing else is ready
+        self.is_staggered = False  # the listed start and the balancer's index set when a first tunnel is due
+        self.budget_initialised = False  # the slow-start budget was computed since the start
+        self.recent_failures, self.ejected_until = 0, 0.0  # recent failures; not ready before this time
+        self.trial_due = 0.0  # when it may be tried though ejected, if no server is ready
         self.slow_start_budget, self.budget_updated_at = 0.0, 0.0  # tunnels that may be sent while it is cold
 
 
 class Balancer:
-    """The decisions of one balancer."""
+    """The decisions of one balancer, with all state that they need."""
 
     def __init__(self, site: Site, host: Host, rng: Random, now: float) -> None:
         self.host, self.profiles, self.max_setups = host, site.profiles, max(1, site.max_setups)
@@ -243,17 +242,15 @@
         )
         self.balancer_index = site.balancer_index
         self.may_cancel, self.max_retry_after = site.may_cancel, site.max_retry_after
-        self.attempt_timeout = max(
-            0.01, min(p.attempt_timeout for p in site.profiles)
-        )  # the pace of what goes by the clock
+        # The shortest of the profiles; also the unit of most pauses and intervals.
+        self.attempt_timeout = max(0.01, min(p.attempt_timeout for p in site.profiles))
         self.timer_interval = max(site.timer_resolution, self.attempt_timeout / 4)
-        self.answer_margin = max(
-            2 * site.timer_resolution, 0.01 * self.attempt_timeout
-        )  # to answer before the client gives up
+        # Time kept to answer before the client's timeout.
+        self.answer_margin = max(2 * site.timer_resolution, 0.01 * self.attempt_timeout)
         # Rule 4: what all balancers may send a cold server at the start, as a multiple of its warm rate.
         self.slow_start_share, self.warm_up_window = site.slow_start_share, site.warm_up_window
         self.overload_factor, self.overload_window = site.overload_factor, site.overload_window
-        self.only_draining_excludes = site.only_draining_excludes  # rule 3: 'gone' alone does not bind
+        self.only_draining_excludes = site.only_draining_excludes  # rule 3: removal alone does not exclude
         self.list_is_polled, self.list_poll_interval = site.list_is_polled, site.list_poll_interval
         self.is_watching_list, self.list_request_due, self.list_retry_delay = (
             False,
@@ -265,73 +262,63 @@
             "connections" not in site.report_fields,
         )
         self.c, self.c_initialised, self.offers, self.accepted_offers = 1.0, False, 0, 0
+        # Highest busy figures offered to in the current and in the previous period.
         self.window_started_at, self.peak_started_at, self.peak_busy, self.previous_peak_busy = (
             now,
             now,
             0.0,
             0.0,
         )
-        self.threshold_step = self.busy_per_tunnel = (
-            DEFAULT_LOAD_STEP if self.busy_is_fraction else 1.0
-        )  # unit: what one placement adds to busy
-        # What one tunnel adds to the load of a server, as reports tell; by the list and the settings alone.
+        # Step of c; what one placement adds to a busy figure.
+        self.threshold_step = self.busy_per_tunnel = DEFAULT_LOAD_STEP if self.busy_is_fraction else 1.0
+        # What one tunnel adds to a server's load, by reports; by the list and the settings alone.
         self.load_per_tunnel = self.initial_load_per_tunnel = DEFAULT_LOAD_STEP
-        self.load_limit = self.migration_target = (
-            MAX_LOAD_LIMIT  # the load at which a server is full; that moves take it down to
-        )
+        # Estimated load from which a server is not ready; reported load that migration aims at.
+        self.load_limit = self.migration_target = MAX_LOAD_LIMIT
         self.mean_load: float | None = None
         self.mean_busy, self.mean_relative_size, self.sizes_listed = 0.0, 1.0, site.sizes_listed
-        self.connection_limit = inf  # connections that a warm server takes at most, where loads are not told
-        self.slow_start_rate, self.budget_share = (
-            0.0,
-            1.0,
-        )  # own tunnels a second to one that starts; parts of 1/N
-        self.queue_priority: Callable[[Tunnel], float] | None = None  # whoever waits is served in this order
-        self.arrival_rate, self.arrivals = 0.0, 0  # own arrivals a second, smoothed; from the first list on
-        self.recent_arrival_rate, self.peer_load_rate = (
-            0.0,
-            0.0,
-        )  # the same over SCARCE; load a second that others add to one
-        self.is_fleet_renewing = False  # many servers started lately: room is at few, and reports are behind
-        self.last_pass_at = self.next_pass_due = self.no_room_until = (
-            now  # ... until: a tunnel found no room lately
-        )
-        self.next_estimate_due = self.timer_at = (
-            inf  # when the first report shows what own tunnels add; the next tick
-        )
+        self.connection_limit = inf  # connections that a warm server takes at most, if loads are not reported
+        # Own tunnels a second for a cold server of mean size at full capacity; own budget in parts of 1/N.
+        self.slow_start_rate, self.budget_share = 0.0, 1.0
+        # Queued tunnels are served in ascending order of this; None: in order of arrival.
+        self.queue_priority: Callable[[Tunnel], float] | None = None
+        self.arrival_rate, self.arrivals = 0.0, 0  # own arrivals a second, smoothed; since the last pass
+        # The same over SCARCITY_DURATION; load a second that other balancers add to a ready server.
+        self.recent_arrival_rate, self.peer_load_rate = 0.0, 0.0
+        self.is_fleet_renewing = False  # many servers started lately: few have capacity, and reports lag
+        # Latest control pass; next one; end of the time in which capacity counts as scarce.
+        self.last_pass_at = self.next_pass_due = self.no_room_until = now
+        self.next_estimate_due = self.timer_at = inf  # the servers' next `estimate_due`; the requested timer
         self.may_probe, self.probe_price = site.may_probe, site.probe_price
-        self.queue: dict[Tunnel, None] = {}  # held or asking
-        self.zone_shares: dict[Profile, tuple[float, ...]] = {}  # the tier's plan: shares over zones
-        self.server_subset: list[Server] | None = (
-            None  # those of `active_servers` that are used, where not all can be
-        )
-        self.subset_offset = self.random()  # its start among every n-th
-        self.active_servers: list[Server] = []  # those of `servers` that are active, by mark
-        self.probe_credit, self.setups_in_progress = (
-            0.0,
-            0,
-        )  # what probes may still cost, in credit; setups that are out
+        self.queue: dict[Tunnel, None] = {}  # tunnels that are QUEUED or PROBING
+        self.zone_shares: dict[Profile, tuple[float, ...]] = {}  # the cluster's plan: shares of the zones
+        self.server_subset: list[Server] | None = None  # the part of `active_servers` in use; None: all
+        self.subset_offset = self.random()  # own offset among every n-th server, as a fraction of n
+        self.active_servers: list[Server] = []  # the active ones of `servers`, ordered by hash
+        self.probe_credit, self.setups_in_progress = 0.0, 0  # credit left for probes
+        # Times at which servers of a cell were found without a process, the latest ones.
         self.process_losses = defaultdict[int, deque[float]](
             lambda: deque([-inf] * MIN_PROCESS_LOSSES, MIN_PROCESS_LOSSES)
-        )  # of a cell: when
-        self.declined: Counter[str] = Counter()  # tunnels answered unopened, by what stood in the way
-        self.consecutive_unopened, self.last_unopened_at = (
-            0,
-            now,
-        )  # setups that ended unopened since one was opened; when the last did
-        self.retry_budget = self.max_retry_budget = float(
-            self.max_setups
-        )  # further setups that may be made now
+        )
+        self.declined: Counter[str] = Counter()  # tunnels answered unopened, by reason
+        # Setups that ended unopened since one was opened; when the last of them ended.
+        self.consecutive_unopened, self.last_unopened_at = 0, now
+        self.retry_budget = self.max_retry_budget = float(self.max_setups)  # further setups allowed now
         self._schedule_timer(now, self.timer_interval)
 
     # The server list.
-    def update_servers(self, entries: Iterable[ServerEntry], whole: bool, cached: bool, now: float) -> None:
-        """The list, or changes to it. A server that a whole list lacks is gone; where draining binds alone,
-        one gone without it stays in use, in doubt until it is heard."""
-        if not cached:
+    def update_servers(
+        self, entries: Iterable[ServerEntry], is_complete: bool, is_cached: bool, now: float
+    ) -> None:
+        """Takes the server list (`is_complete`) or changes to it; `is_cached`: it may be outdated.
+
+        A server that a complete list lacks is removed. Where only draining excludes (`Site`), a server that
+        is removed without having drained stays in use, but stale until it answers or is listed again.
+        """
+        if not is_cached:
             self.is_watching_list, self.list_retry_delay = True, self.list_poll_interval / 8
-        changed = False  # who is active; other news, such as weights, come every second
-        for server in self.servers.values() if whole else ():
+        changed = False  # the set of active servers; other updates, such as weights, come every second
+        for server in self.servers.values() if is_complete else ():
             server.listed = False
         for entry in entries:
             server = self.servers.get(entry.server) or Server(entry.server)
@@ -346,19 +333,20 @@
                     self._mark_process_missing(server, entry.started_at)
                 server.started_at, server.probe_due = entry.started_at, now
                 self._record_process_start(server, entry.started_at, now, True)
-            if cached and server.warm_at <= now:
+            if is_cached and server.warm_at <= now:
                 self._mark_unconfirmed(server, now)
-                if not self.list_is_polled:  # pushed: it is current as long as no change comes
+                if not self.list_is_polled:  # a pushed list is current until a change comes
                     self.confirm_process(server)
-            elif not cached and entry.state != "left":
+            elif not is_cached and entry.state != "left":
                 self._clear_stale(server, now)
-            was, server.listed = server.active, entry.state != "left"
-            server.active = entry.state == "active" or (was and self._stays_active(server))
-            changed |= server.active != was
-        for server in self.servers.values() if not cached else ():  # and what it does not name is as it was
+            was_active, server.listed = server.active, entry.state != "left"
+            server.active = entry.state == "active" or (was_active and self._stays_active(server))
+            changed |= server.active != was_active
+        # An update confirms also the servers that it does not name.
+        for server in self.servers.values() if not is_cached else ():
             self.confirm_process(server, True)
         for server in [
-            server for server in self.servers.values() if whole and server.active and not server.listed
+            server for server in self.servers.values() if is_complete and server.active and not server.listed
         ]:
             server.active = self._stays_active(server)
             changed |= not server.active
@@ -380,176 +368,216 @@
             )
             self.initial_load_per_tunnel = self.load_per_tunnel
             self._earn_probe_credit(PERIODIC_PROBE_SHARE * self.arrival_rate * HISTORY_SECONDS)
-        if cached and self.list_is_polled and not self.is_watching_list:
+        if is_cached and self.list_is_polled and not self.is_watching_list:
             self._request_list(now)
         self._serve_queue(now)
 
     def _mark_unconfirmed(self, server: Server, now: float) -> None:
-        """Rule 4 after an own start: what became of it since is not known, so it is cold from now."""
+        """Treats a server as cold from now on, as its process may have restarted before this balancer did.
+
+        Guards rule 4 after a start of this balancer.
+        """
         self._record_process_start(server, now, now)
         server.unconfirmed = server.start_inferred = True
 
     @staticmethod
-    def confirm_process(server: Server, told: bool = False) -> None:
-        """It is the process known before this balancer started, as it is told now, or by a memory of this run
-        of the machine, which many that have no process gainsay."""
+    def confirm_process(server: Server, by_list: bool = False) -> None:
+        """Takes the server's process to be the one known before this balancer started.
+
+        `by_list`: a current list tells so. Else a snapshot of the same boot does, which is no longer believed
+        once several unconfirmed servers are found without a process (`_record_failure`).
+        """
         if server.unconfirmed:
-            server.unconfirmed, server.start_inferred, server.previous_warm_at = not told, False, 0.0
+            server.unconfirmed, server.start_inferred, server.previous_warm_at = not by_list, False, 0.0
             server.warm_at = server.warm_at if server.process_missing else 0.0
 
-    def _record_process_start(self, server: Server, at: float, now: float, told: bool = False) -> None:
-        """A process that started then, cold unless that is long ago; `told` by the list, so alike to all."""
+    def _record_process_start(
+        self, server: Server, started_at: float, now: float, by_list: bool = False
+    ) -> None:
+        """Records a process that started at `started_at`, cold unless that is 0 (long ago).
+
+        `by_list`: the list told the start, so all balancers have the same.
+        """
         server.reset()
-        server.unconfirmed, server.warm_at = False, at + self.warm_up_window if at else 0.0
-        # The balancers must not all spend a first tunnel at the same moment.
+        server.unconfirmed, server.warm_at = False, started_at + self.warm_up_window if started_at else 0.0
+        # A random part of a tunnel: not all balancers may have their first tunnel due at the same moment.
         server.slow_start_budget, server.budget_updated_at = self.uniform(0.0, 1.0), now
-        server.start_listed = told and at > 0.0
+        server.start_listed = by_list and started_at > 0.0
         server.is_staggered = server.start_listed and self.balancer_index >= 0
-        if (
-            server.is_staggered
-        ):  # by the own number and the server's age: alike whenever this balancer itself started
+        # By the own index and the server's age: the same whenever this balancer itself started.
+        if server.is_staggered:
             server.slow_start_budget, server.budget_updated_at = (
                 (self.balancer_index * GOLDEN_RATIO_CONJUGATE + server.name_hash / MAX_HASH) % 1.0,
-                at,
+                started_at,
             )
-        self._record_recovery(server, at)
+        self._record_recovery(server, started_at)
         self._update_load_estimate(server)
 
     def _stays_active(self, server: Server) -> bool:
-        """Whether a server in use that the list no longer has stays so: the list may be wrong about it."""
+        """Whether a server missing from the list stays in use, as the list may be wrong; marks it stale."""
         stays = self.only_draining_excludes and not server.listed
         if stays:
             self.mark_stale(server)
         return stays
 
     def list_request_failed(self, now: float) -> None:
-        """A call failed or the watch broke: ask again, later each time, apart from the others."""
+        """Schedules another list request, with growing and randomised delay, after a failed or broken one."""
         self.is_watching_list = False
         self.list_request_due = now + self.list_retry_delay * self.uniform(0.5, 1.5)
         self.list_retry_delay = min(2 * self.list_retry_delay, self.list_poll_interval)
 
     def _request_list(self, now: float) -> None:
+        """Requests the list, and again later unless an answer comes."""
         self.host.watch_list()
-        # No answer at all: asked again before this balancer counts as told of what it never heard.
+        # Before the poll interval ends: after it this balancer counts as notified of changes it never
+        # received.
         self.list_request_due = now + self.list_poll_interval * self.uniform(0.6, 0.9)
 
     @staticmethod
     def mark_stale(server: Server) -> None:
-        """Remembered, but for so long that it may be gone: suspended until heard of or listed. Guards tunnels
-        from an old memory; where nothing else is ready it takes one at a time."""
+        """Ejects a remembered server that may be gone until it answers or is listed.
+
+        Guards tunnels against an old snapshot. If no other server is ready it is tried with one setup at a
+        time.
+        """
         server.stale, server.ejected_until = True, inf
 
     @staticmethod
     def _clear_stale(server: Server, now: float) -> None:
+        """Ends the ejection of a stale server, which has answered or is listed."""
         if server.stale:
             server.stale, server.ejected_until = False, now
 
     # Readiness.
     def _select_ready(self, tunnel: Tunnel, servers: list[Server], now: float) -> list[Server]:
-        """Not suspended, with room, within the budget of a cold one, or asked first if it had no process."""
-        at_all = [server for server in servers if max(server.ejected_until, server.unstable_until) <= now]
+        """Selects servers that are not ejected, have capacity, and are warm or within the slow-start budget.
+
+        One that had no process is included if it can be probed first.
+        """
+        not_ejected = [
+            server for server in servers if max(server.ejected_until, server.unstable_until) <= now
+        ]
         return [
             server
-            for server in self._select_with_capacity(tunnel, at_all, now)
+            for server in self._select_with_capacity(tunnel, not_ejected, now)
             if self._may_receive_tunnel(server, now)
         ]
 
     def _select_with_capacity(self, tunnel: Tunnel, servers: list[Server], now: float) -> list[Server]:
-        # One not heard from since this refuses nobody: it is asked again before an offer.
-        again, top = (
+        """Selects servers under the load limit, or the connection limit where loads are not reported."""
+        # A server that has not answered since then is not excluded: it is probed before an offer.
+        outdated_before, limit = (
             now - MAX_REPORT_AGE_FOR_REFUSAL * self.attempt_timeout if self._can_afford_probe() else -inf,
             self.load_limit,
         )
-        grouped = self.is_fleet_renewing and tunnel.group
+        by_group = self.is_fleet_renewing and tunnel.group
         if self.connection_limit < inf:
-            bound = {
+            max_busy = {
                 server: self.connection_limit * self._available_capacity(server, now) for server in servers
             }
             servers = [
                 server
                 for server in servers
-                if server.answered_at < again or self._estimated_busy(server, 0.0) < bound[server]
+                if server.answered_at < outdated_before
+                or self._estimated_busy(server, 0.0) < max_busy[server]
             ]
         return [
             server
             for server in servers
-            if server.answered_at < again
-            or server.estimated_load < (self._group_load_limit(tunnel, server) if grouped else top)
+            if server.answered_at < outdated_before
+            or server.estimated_load < (self._group_load_limit(tunnel, server) if by_group else limit)
         ]
 
     def _group_load_limit(self, tunnel: Tunnel, server: Server) -> float:
-        """The load up to which it takes a group's tunnel while the fleet is renewed: what moves leave it at
-        its home, less for each place away. Guards groups from being scattered: where all old servers are
-        full, the few with room get a tunnel of each. It hurts who waits while room is far from home."""
-        away = (
+        """Gives the load limit of a server for tunnels of a group while the fleet is being renewed.
+
+        It is the migration target at the servers that the group prefers or is at, and falls with the distance
+        from these. Guards groups against being scattered: while all old servers are full, the few with
+        capacity would get a tunnel of each group. The cost: tunnels wait although a distant server has
+        capacity.
+        """
+        distance = (
             0.0
             if tunnel.group in server.tunnels_by_group
             else self._affinity_distance(tunnel, server) * len(self.active_servers) / MAX_HASH
             - PREFERRED_SERVERS
         )
-        return MAX_MIGRATION_TARGET - AFFINITY_DISTANCE_PENALTY * max(0.0, away)
+        return MAX_MIGRATION_TARGET - AFFINITY_DISTANCE_PENALTY * max(0.0, distance)
 
     def _update_load_estimate(self, server: Server) -> None:
-        """The load that tells whether a server has room: the reported one, with what all balancers are likely
-        to have added since. It has room under FULL. Guards against balancers that fill a server between two
-        reports, and overload, where a server drops what it holds, which comes again at once. What ended or is
-        moved off makes no room before a report shows it: its group may stay, the server stay full."""
+        """Estimates the load that decides whether a server is ready: it has to be under `load_limit`.
+
+        It is the reported load and what all balancers are likely to have added since. Guards against
+        balancers that fill a server between two reports, and against overload, in which a server drops
+        tunnels that come back at once. Tunnels that ended or migrated free nothing before a report shows it:
+        their group may remain and the server be as full as before.
+        """
         load = self.mean_load if server.reported_busy is None else server.reported_load
         if server.reported_busy is None and server.start_listed and server.warm_at > self.last_pass_at:
-            load = 0.0  # new, and its budget guards it: the mean would shut it where the others are full
+            load = 0.0  # new and limited by its budget; the mean would exclude it where the others are full
+        # Without any report all servers have capacity.
         server.estimated_load = (
             -inf if load is None else load + self._unreported_load(server) + server.assumed_peer_load
-        )  # no report: all have room
+        )
 
     def _unreported_load(self, server: Server) -> float:
-        """Load that all balancers are likely to have added since, each as this one did."""
+        """Estimates the load added since the last report, if all balancers placed as many as this one."""
         return len(server.unreported_placements) * (
             min(self.load_per_tunnel, server.max_load_per_tunnel) * self.balancer_count
         )
 
     def _max_peer_load(self, now: float) -> float:
-        """Load that others may add to a server with room, if as many tunnels wait at them, NEWS at most;
-        while the fleet is renewed also if as many come to them, until that shows. By chance a part of it.
-        Guards against many that each send a tunnel for the same room: some of them hold it for full."""
+        """Gives the load that the other balancers may add to a ready server; a random part of it is assumed.
+
+        It holds if as many tunnels are queued at them as here, and is at most MAX_UNREPORTED_LOAD; while the
+        fleet is being renewed, also if as many arrive there until reports show it, with `load_limit` as the
+        most. Guards against many balancers that send a tunnel each for the same capacity: some take it as
+        used.
+        """
         if self.balancer_count <= len(self.active_servers):
             return 0.0
-        each = self._load_per_peer_placement(now)
+        load_per_placement = self._load_per_peer_placement(now)
         if not self.is_fleet_renewing:
-            return min(MAX_UNREPORTED_LOAD, len(self.queue) * each)
-        theirs = (
+            return min(MAX_UNREPORTED_LOAD, len(self.queue) * load_per_placement)
+        peer_placements = (
             sum(tunnel.state is State.QUEUED for tunnel in self.queue)
             + self.recent_arrival_rate * PLACEMENT_REPORT_DELAY * self.attempt_timeout
         )
-        return min(self.load_limit, theirs * each)
+        return min(self.load_limit, peer_placements * load_per_placement)
 
     def _load_per_peer_placement(self, now: float) -> float:
-        """Load that a server with room gets if each of the others places one tunnel."""
-        where = sum(
+        """Gives the load that a ready server gets if each other balancer places one tunnel."""
+        ready_count = sum(
             server.estimated_load < self.load_limit and server.ejected_until <= now
             for server in self.active_servers
         )
-        return (self.balancer_count - 1) * self.load_per_tunnel / max(1, where)
+        return (self.balancer_count - 1) * self.load_per_tunnel / max(1, ready_count)
 
     @staticmethod
-    def _update_max_load_per_tunnel(server: Server, now: float, cut: float) -> None:
-        """What one tunnel adds here at most: its report has all in it that it opened before `cut`. Guards
-        large, idle servers from being held full. Only room looks at it, not rule 4, as many end."""
-        seen = sum(at <= cut for at in server.unreported_openings)
-        if seen >= MIN_OBSERVED_TUNNELS:
+    def _update_max_load_per_tunnel(server: Server, now: float, reported_until: float) -> None:
+        """Bounds the load of one tunnel at a server by its report.
+
+        The report includes all tunnels opened until `reported_until`. Guards large, idle servers against
+        being taken as full. Used for readiness alone, not for rule 4: tunnels that end soon make a server
+        look large.
+        """
+        observed = sum(at <= reported_until for at in server.unreported_openings)
+        if observed >= MIN_OBSERVED_TUNNELS:
             server.max_load_per_tunnel, server.max_load_per_tunnel_at = (
-                max(LOAD_ESTIMATE_MARGIN * server.reported_load / seen, MIN_LOAD_PER_TUNNEL),
+                max(LOAD_ESTIMATE_MARGIN * server.reported_load / observed, MIN_LOAD_PER_TUNNEL),
                 now,
             )
         elif now - server.max_load_per_tunnel_at > HISTORY_SECONDS:
             server.max_load_per_tunnel = inf
         server.unreported_openings = deque(
-            (at for at in server.unreported_openings if at > cut), MAX_OBSERVED_TUNNELS
+            (at for at in server.unreported_openings if at > reported_until), MAX_OBSERVED_TUNNELS
         )
         server.estimate_due = (
             inf if len(server.unreported_openings) < MIN_OBSERVED_TUNNELS else server.estimate_due
         )
 
     def _may_receive_tunnel(self, server: Server, now: float) -> bool:
+        """Whether a server is warm, within its slow-start budget, or without process but can be probed."""
         return (
             server.warm_at <= now
             or (server.process_missing and self._can_afford_probe())
@@ -557,61 +585,64 @@
         )
 
     def _has_slow_start_budget(self, server: Server, now: float) -> bool:
-        """Rule 4: a cold server is ready while this balancer's share of its budget holds a tunnel. One that
-        takes long to hold a whole tunnel lapses once it has held one for part of the tip span. Guards against
-        many balancers that have all kept a tunnel and send it at the same moment."""
+        """Rule 4: whether a server is warm or this balancer's budget for it holds a whole tunnel.
+
+        Brings the budget up to date. Unused budget is kept only for a part of the overload window; where it
+        takes longer than that to save a whole tunnel, that tunnel expires after this time. Guards against
+        many balancers that each have saved a tunnel and send it at the same moment.
+        """
         if server.warm_at <= now:
             return True
-        if server.is_staggered and not self.slow_start_rate:  # not reckoned yet since the own start
+        if server.is_staggered and not self.slow_start_rate:  # before the first control pass
             return False
-        gain = self.slow_start_rate * min(server.relative_size / self.mean_relative_size, MAX_RELATIVE_SIZE)
-        gain *= (
-            INFERRED_START_FACTOR if server.start_inferred and self.tunnel_quota else 1.0
-        )  # not told, a tunnel is taken at its most
-        # In turn, no chance is in how many hold a tunnel's worth at one moment: all of the budget is spent,
-        # and half of what the limit leaves to chance may be kept. The other half is for heavier tunnels.
-        in_turn = server.is_staggered and self.budget_share == 1.0
-        gain /= SLOW_START_SAFETY_FACTOR if in_turn else 1.0
-        before, share = (
+        rate = self.slow_start_rate * min(server.relative_size / self.mean_relative_size, MAX_RELATIVE_SIZE)
+        # Without a quota the load of a tunnel is already assumed at its highest.
+        rate *= INFERRED_START_FACTOR if server.start_inferred and self.tunnel_quota else 1.0
+        # Staggered first tunnels leave nothing to chance in how many balancers hold a whole tunnel at one
+        # moment: all of the budget is used, and half of the limit's allowance for chance may be kept. The
+        # other half is left for heavier tunnels.
+        staggered = server.is_staggered and self.budget_share == 1.0
+        rate /= SLOW_START_SAFETY_FACTOR if staggered else 1.0
+        previous_capacity, capacity = (
             self._available_capacity(server, server.budget_updated_at),
             self._available_capacity(server, now),
         )
         server.slow_start_budget, server.budget_updated_at = (
-            server.slow_start_budget + gain * (before + share) / 2 * (now - server.budget_updated_at),
+            server.slow_start_budget
+            + rate * (previous_capacity + capacity) / 2 * (now - server.budget_updated_at),
             now,
         )
-        if (
-            server.is_staggered and not server.budget_initialised
-        ):  # what fell due before may have been spent before an own restart
+        # What was due earlier may have been used before a restart of this balancer.
+        if server.is_staggered and not server.budget_initialised:
             server.slow_start_budget, server.budget_initialised = server.slow_start_budget % 1.0, True
-        gain *= share
-        all_may = gain * self.balancer_count * self.overload_window
-        spans = max(all_may, MIN_LOAD_PER_TUNNEL) ** -0.5 if in_turn else SLOW_START_CARRY_OVER
-        kept = gain * self.overload_window * spans
-        if kept >= 1.0:
-            server.slow_start_budget = min(server.slow_start_budget, kept)
-        elif server.slow_start_budget > 1.0 + kept:
-            server.slow_start_budget = kept + (server.slow_start_budget - kept) % 1.0
+        rate *= capacity
+        fleet_budget = rate * self.balancer_count * self.overload_window
+        kept_windows = max(fleet_budget, MIN_LOAD_PER_TUNNEL) ** -0.5 if staggered else SLOW_START_CARRY_OVER
+        max_kept = rate * self.overload_window * kept_windows
+        if max_kept >= 1.0:
+            server.slow_start_budget = min(server.slow_start_budget, max_kept)
+        elif server.slow_start_budget > 1.0 + max_kept:
+            server.slow_start_budget = max_kept + (server.slow_start_budget - max_kept) % 1.0
         return server.slow_start_budget >= 1.0
 
     def _available_capacity(self, server: Server, at: float) -> float:
-        """Of its capacity, what a server surely has then."""
+        """Gives the share of its capacity that a server has for certain at a time."""
         age = at - (server.warm_at - self.warm_up_window)
         return min(
             1.0, self.slow_start_share + (1 - self.slow_start_share) * max(0.0, age) / self.warm_up_window
         )
 
     def _select_candidates(self, tunnel: Tunnel, now: float) -> list[Server]:
-        """The ready servers that this tunnel may go to."""
+        """Selects the ready servers that a tunnel may go to."""
         if self._is_paused(now):
             return []
         pool = self.server_subset or self.active_servers
-        able = (
+        eligible = (
             pool
             if self._is_freely_retryable(tunnel)
             else [server for server in pool if self._is_eligible(tunnel, server, now)]
         )
-        ready = self._select_ready(tunnel, able, now)
+        ready = self._select_ready(tunnel, eligible, now)
         if self._requires_affinity(tunnel, now):
             ready = self._select_by_affinity(tunnel, ready)
         if tunnel.setups:
@@ -619,26 +650,31 @@
                 server for server in ready if all(s.server is not server for s in tunnel.setups)
             ] or ready
         if not ready and pool is not self.active_servers:
-            self.server_subset = None  # the others serve until the next round
+            self.server_subset = None  # all servers are used until the next control pass
             return self._select_candidates(tunnel, now)
-        # Guards against being left without servers, and a storm: one setup out, none for a time after.
+        # If none is ready, ejected ones are tried with one setup at a time and a pause after a failure.
+        # Guards against having no server at all, and against a storm of setups.
         if not ready:
-            due = [
+            trial_servers = [
                 server
-                for server in able
+                for server in eligible
                 if max(server.ejected_until, server.unstable_until) > now >= server.trial_due
                 and not server.pending_setups
             ]
             ready = [
                 server
-                for server in self._select_with_capacity(tunnel, due, now)
+                for server in self._select_with_capacity(tunnel, trial_servers, now)
                 if self._may_receive_tunnel(server, now)
             ]
         return ready
 
     def _is_paused(self, now: float) -> bool:
-        """Guards against trying more where nothing opens: what all servers depend on is slow, and what times
-        out is work for it too, or this balancer is cut off. It hurts who waits at the end of such a time."""
+        """Whether no setup may start because setups in a row ended unopened.
+
+        Guards against more attempts where nothing opens: something that all servers depend on is slow, and
+        attempts that time out add work to it, or this balancer is cut off. The cost: tunnels whose time ends
+        during a pause are declined.
+        """
         pause = self.attempt_timeout * 2 ** min(
             self.consecutive_unopened - MIN_FAILURES_FOR_PAUSE, MAX_PAUSE_DOUBLINGS
         )
@@ -648,69 +684,83 @@
 
     @staticmethod
     def _is_freely_retryable(tunnel: Tunnel) -> bool:
-        """Rule 2: another setup has no second effect, wherever it goes."""
+        """Rule 2: whether another setup at any server has no second effect."""
         return tunnel.profile.semantics == "repeatable" or not any(s.may_have_run for s in tunnel.setups)
 
     @staticmethod
     def _is_eligible(tunnel: Tunnel, server: Server, now: float) -> bool:
-        """Rule 2: where another setup has no second effect."""
+        """Rule 2: whether another setup at this server has no second effect."""
         if Balancer._is_freely_retryable(tunnel):
             return True
         if tunnel.profile.semantics == "once-only":
             return False
-        first, group = next(s for s in tunnel.setups if s.may_have_run), tunnel.profile.dedup_scope
-        same = group == "all" or (
-            first.server.zone == server.zone if group == "zone" else first.server.cell == server.cell
+        first, scope = next(s for s in tunnel.setups if s.may_have_run), tunnel.profile.dedup_scope
+        in_scope = scope == "all" or (
+            first.server.zone == server.zone if scope == "zone" else first.server.cell == server.cell
         )
-        return same and now < first.sent_at + tunnel.profile.dedup_window
+        return in_scope and now < first.sent_at + tunnel.profile.dedup_window
 
     @staticmethod
     def may_decline(tunnel: Tunnel) -> bool:
-        """Rule 2: a decline says that another try is harmless."""
+        """Rule 2: whether the tunnel may be declined; that tells the client that it may try again."""
         return Balancer._is_freely_retryable(tunnel) or (
             tunnel.profile.semantics == "referenced" and tunnel.profile.dedup_scope == "all"
         )
 
-    # The ordinary path.
-    def _estimated_busy(self, server: Server, mean: float) -> float:
-        return (mean if server.reported_busy is None else server.reported_busy) + len(
+    # Offers and the threshold.
+    def _estimated_busy(self, server: Server, default: float) -> float:
+        """Gives the busy figure (`default` if not reported) with own placements since the report."""
+        return (default if server.reported_busy is None else server.reported_busy) + len(
             server.unreported_placements
         ) * self.busy_per_tunnel
 
     def _servers_with_reports(self) -> list[Server]:
+        """Lists the active servers whose busy figure is known."""
         return [server for server in self.active_servers if server.reported_busy is not None]
 
     def _draw_candidates(self, tunnel: Tunnel, ready: list[Server]) -> list[Server]:
-        """Two different ready servers at random: of those that hold the tunnel's group, first those in the
-        own zone; else of the group's home or the own zone. A server pays once a group; crossings cost."""
+        """Draws two different ready servers at random.
+
+        They come from the servers that hold the tunnel's group, those in its zone first; otherwise from the
+        group's preferred servers or the zone. A server pays once for a group; traffic between zones costs.
+        """
         if len(ready) < 2:
             return ready
-        held = [server for server in ready if tunnel.group in server.tunnels_by_group] if tunnel.group else []
-        near = [
+        with_group = (
+            [server for server in ready if tunnel.group in server.tunnels_by_group] if tunnel.group else []
+        )
+        in_zone = [
             server
-            for server in held or ready
+            for server in with_group or ready
             if server.zone == (self.zone if tunnel.planned_zone < 0 else tunnel.planned_zone)
         ]
-        last = (
-            self._preferred_servers(tunnel, ready) if tunnel.group and self._concentrates_groups() else near
+        fallback = (
+            self._preferred_servers(tunnel, ready)
+            if tunnel.group and self._concentrates_groups()
+            else in_zone
         )
-        pools = [near, held, last] if held else [last]
+        pools = [in_zone, with_group, fallback] if with_group else [fallback]
         first = self._pick_server(ready, pools, None)
         return [first, self._pick_server(ready, pools, first)]
 
-    def _pick_server(self, ready: list[Server], pools: list[list[Server]], but: Server | None) -> Server:
-        left = ([server for server in pool if server is not but] for pool in (*pools, ready))
-        return self.choice(next(servers for servers in left if servers))
+    def _pick_server(self, ready: list[Server], pools: list[list[Server]], excluded: Server | None) -> Server:
+        """Picks a random server other than `excluded` from the first pool that has one."""
+        remaining = ([server for server in pool if server is not excluded] for pool in (*pools, ready))
+        return self.choice(next(servers for servers in remaining if servers))
 
     def _concentrates_groups(self) -> bool:
-        """Whether groups are gathered, not kept in the zone: where the fleet is crowded, or own tunnels
-        hardly tell where one is. Guards against groups scattered over a large fleet by a mass arrival."""
+        """Whether groups go to their preferred servers rather than to servers of the zone.
+
+        So where the fleet is loaded, or own tunnels hardly tell where a group is. Guards against a mass
+        arrival that scatters groups over a large fleet.
+        """
         return (
             self.balancer_count > len(self.active_servers)
             or (self.mean_load or 0.0) * LOAD_LIMIT_OVER_MEAN > MIN_LOAD_LIMIT
         )
 
     def _requires_affinity(self, tunnel: Tunnel, now: float) -> bool:
+        """Whether a tunnel may go only near its group, as capacity was scarce lately."""
         return (
             bool(tunnel.group)
             and now < self.no_room_until
@@ -719,98 +769,113 @@
         )
 
     def _select_by_affinity(self, tunnel: Tunnel, ready: list[Server]) -> list[Server]:
-        """Where room is scarce, the ready servers that hold the group, and others the nearer to its home the
-        fuller they are. Guards a fleet that fills again after a mass break: a server with a little room would
-        pay for nearly as many groups as tunnels. It hurts one that waits while room is far from home."""
-        far, home, group = (
+        """Selects the ready servers that hold the group, and others by load and distance.
+
+        Used while capacity is scarce: the fuller another server is, the nearer it has to be. Guards a fleet
+        that fills again after a mass failure: a server with little capacity would pay for nearly as many
+        groups as tunnels. The cost: tunnels wait although a distant server has capacity.
+        """
+        distance_penalty, least_penalty, group = (
             AFFINITY_DISTANCE_PENALTY * len(self.active_servers) / MAX_HASH,
             AFFINITY_DISTANCE_PENALTY * PREFERRED_SERVERS,
             tunnel.group,
         )
-        fuller = {
-            server: server.estimated_load + max(home, far * self._affinity_distance(tunnel, server))
+        penalised_load = {
+            server: server.estimated_load
+            + max(least_penalty, distance_penalty * self._affinity_distance(tunnel, server))
             for server in ready
         }
         return [
             server
             for server in ready
-            if group in server.tunnels_by_group or fuller[server] < self.load_limit + home
+            if group in server.tunnels_by_group or penalised_load[server] < self.load_limit + least_penalty
         ]
 
     @staticmethod
     def _preferred_servers(tunnel: Tunnel, ready: list[Server]) -> list[Server]:
-        """The first ready servers in an order of the group's own, the same at all balancers, though none sees
-        the others' tunnels; it goes on to the next ones as these fill."""
+        """Gives the first ready servers in the group's own order.
+
+        The order is the same at all balancers, though none sees the others' tunnels; as these servers fill,
+        the next ones follow.
+        """
         return nsmallest(
             PREFERRED_SERVERS, ready, key=lambda server: Balancer._affinity_distance(tunnel, server)
         )
 
     @staticmethod
     def _affinity_distance(tunnel: Tunnel, server: Server) -> int:
+        """Gives the place of a server in the order of the tunnel's group: a 64-bit hash of both."""
         return (tunnel.group_hash ^ server.name_hash) * HASH_MULTIPLIER & MAX_HASH
 
     def _offer(self, tunnel: Tunnel, now: float) -> None:
-        """SRLB: the first candidate takes the tunnel if it is busy under c, else the second must. One whose
-        report is old is asked first; one that has no room then is drawn anew."""
-        first, mean = tunnel.candidates[0], self.mean_busy
-        taken = False
-        # Rule 1: a tunnel that waits for an answer is looked at again before its time is out.
-        late = now + 2 * self.timer_interval >= tunnel.deadline
+        """SRLB: the first candidate takes the tunnel if it is busy under c, else the second must.
+
+        A candidate with an outdated report is probed first; if it has no capacity then, candidates are drawn
+        anew.
+        """
+        first, mean_busy = tunnel.candidates[0], self.mean_busy
+        accepted = False
+        # Rule 1: a tunnel that waits for a probe has to be served again before its deadline.
+        too_late_to_probe = now + 2 * self.timer_interval >= tunnel.deadline
         for server in tunnel.candidates:
             age = now - server.reported_at
-            grown = (
+            may_be_full = (
                 age > self.attempt_timeout
                 and server.estimated_load + self.peer_load_rate * age >= self.load_limit
             )
-            old = (
+            needs_probe = (
                 server.process_missing
                 or now - server.answered_at > MAX_REPORT_AGE_FOR_OFFER * self.attempt_timeout
-                or grown
+                or may_be_full
                 or self._may_have_restarted(server, now)
             )
-            if not late and old and (server.probing or self._can_afford_probe()):
+            if not too_late_to_probe and needs_probe and (server.probing or self._can_afford_probe()):
                 self._request_load(server)
                 server.tunnels_awaiting_probe.append(tunnel)
                 tunnel.transition_to(State.PROBING)
                 self._enqueue(tunnel, now)
                 return
-            self.peak_busy = max(self.peak_busy, self._estimated_busy(server, mean))
-            taken = server is first and self._estimated_busy(server, mean) < self.c
-            if taken:
+            self.peak_busy = max(self.peak_busy, self._estimated_busy(server, mean_busy))
+            accepted = server is first and self._estimated_busy(server, mean_busy) < self.c
+            if accepted:
                 break
         if len(tunnel.candidates) > 1:
-            self.offers, self.accepted_offers = self.offers + 1, self.accepted_offers + taken
-        chosen = first if taken else tunnel.candidates[-1]
-        if not self._has_slow_start_budget(
-            chosen, now
-        ):  # it could not be asked, or its budget went meanwhile
+            self.offers, self.accepted_offers = self.offers + 1, self.accepted_offers + accepted
+        chosen = first if accepted else tunnel.candidates[-1]
+        # It could not be probed, or its budget was used meanwhile.
+        if not self._has_slow_start_budget(chosen, now):
             self._queue_or_answer(tunnel, now)
             return
         if self.offers >= WINDOW_OFFERS:
             self._adapt_threshold(now)
         self._send_setup(tunnel, chosen, now)
 
-    def _earn_probe_credit(self, spend: float) -> None:
-        """Probes are paid from the credit of own tunnels; two rounds and what open ones pay are kept: guards
-        against many balancers that each probe at a pace which none pays for."""
-        top = 2 * max(RESERVED_PROBES, len(self.active_servers)) * self.probe_price
-        top += PERIODIC_PROBE_SHARE * sum(
+    def _earn_probe_credit(self, credit: float) -> None:
+        """Adds credit of own tunnels for probes, up to two rounds of probes and what the open tunnels pay.
+
+        Guards against many balancers that each probe more often than their tunnels pay for.
+        """
+        max_credit = 2 * max(RESERVED_PROBES, len(self.active_servers)) * self.probe_price
+        max_credit += PERIODIC_PROBE_SHARE * sum(
             max(0, len(server.tunnels) - FEW_OWN_TUNNELS) for server in self.active_servers
         )
-        self.probe_credit = min(self.probe_credit + spend, top)
+        self.probe_credit = min(self.probe_credit + credit, max_credit)
 
-    def _can_afford_probe(self, kept: int = 0) -> bool:
-        return self.may_probe and self.probe_credit >= (1 + kept) * self.probe_price
+    def _can_afford_probe(self, reserved: int = 0) -> bool:
+        """Whether probes are allowed and there is credit for one, with `reserved` more left."""
+        return self.may_probe and self.probe_credit >= (1 + reserved) * self.probe_price
 
     def _request_load(self, server: Server) -> None:
+        """Sends a probe unless one is in progress."""
         if not server.probing:
             self.probe_credit -= self.probe_price
             server.probing = True
             self.host.probe(server)
 
     def _resume_after_probe(self, server: Server, now: float) -> None:
+        """Continues the offers of tunnels that waited for a probe, or places them anew."""
         waiting, server.tunnels_awaiting_probe = server.tunnels_awaiting_probe, []
-        for tunnel in [waits for waits in waiting if waits.state is State.PROBING]:
+        for tunnel in [awaiting for awaiting in waiting if awaiting.state is State.PROBING]:
             tunnel.transition_to(State.QUEUED)
             if len(
                 self._select_ready(tunnel, [server for server in tunnel.candidates if server.active], now)
@@ -820,14 +885,16 @@
                 self._place(tunnel, now)
 
     def _initialise_threshold(self) -> None:
-        """c starts anew at the median of the first figures heard, half acceptance already: guards against one
-        that stays far from the figures all day, where each offer is plain chance."""
-        heard = sorted(server.reported_busy or 0.0 for server in self._servers_with_reports())
-        if 2 * len(heard) > len(self.active_servers):
-            self.c, self.c_initialised = heard[len(heard) // 2], True
+        """Sets c to the median of the first busy figures, at which half of the first offers are accepted.
+
+        Guards against a c that stays far from the figures, with which each offer is plain chance.
+        """
+        busy_figures = sorted(server.reported_busy or 0.0 for server in self._servers_with_reports())
+        if 2 * len(busy_figures) > len(self.active_servers):
+            self.c, self.c_initialised = busy_figures[len(busy_figures) // 2], True
 
     def _adapt_threshold(self, now: float) -> None:
-        """SR_dyn: the end of a window. c moves a step toward half acceptance; the counts start again."""
+        """SR_dyn at the end of a window: moves c one step toward half acceptance and resets the counts."""
         ratio = (
             self.accepted_offers / self.offers
             if self.offers >= MIN_WINDOW_OFFERS
@@ -839,20 +906,37 @@
             self.c = max(0.0, self.c - self.threshold_step)
         self.offers, self.accepted_offers, self.window_started_at = 0, 0, now
 
-    # Tunnels.
+    # Tunnels and setups.
     def new_tunnel(
-        self, name: str, profile: int, tenant: int, key: str, group: str, deadline: float, back: bool
+        self,
+        name: str,
+        profile_index: int,
+        tenant: int,
+        key: str,
+        group: str,
+        deadline: float,
+        is_returning: bool,
     ) -> Tunnel:
-        return Tunnel(name, self.profiles[profile], tenant, key, group, deadline - self.answer_margin, back)
+        """Makes a tunnel; `deadline` is the end of the client's timeout."""
+        return Tunnel(
+            name,
+            self.profiles[profile_index],
+            tenant,
+            key,
+            group,
+            deadline - self.answer_margin,
+            is_returning,
+        )
 
-    def tunnel_arrived(self, tunnel: Tunnel, midflow: bool, now: float) -> None:
+    def tunnel_arrived(self, tunnel: Tunnel, is_midflow: bool, now: float) -> None:
+        """Places a new tunnel; a mid-flow one goes to the server that has a tunnel with its key."""
         self.arrivals += 1
         self._earn_probe_credit(PERIODIC_PROBE_SHARE + CANDIDATE_PROBE_SHARE)
-        # A mid-flow tunnel goes to the server that has it, as far as this balancer has seen it.
+        # Known only as far as this balancer has seen the tunnels.
         holders = (
             server for server in self.active_servers if any(t.key == tunnel.key for t in server.tunnels)
         )
-        holder = next(holders, None) if midflow and tunnel.key else None
+        holder = next(holders, None) if is_midflow and tunnel.key else None
         if holder is not None:
             self._send_setup(tunnel, holder, now)
         elif self.queue_priority and any(
@@ -863,15 +947,16 @@
             self._place(tunnel, now)
 
     def tunnel_inherited(self, tunnel: Tunnel, server: Server, now: float) -> None:
+        """Records a tunnel that was open at the server before this balancer started."""
         tunnel.setups.append(Setup(server, now))
         tunnel.setups[-1].was_opened = True
         tunnel.transition_to(State.OPEN)
-        # Guards against a start on reports that were made before these tunnels stood.
+        # Guards against a start with reports that do not include these tunnels yet.
         server.probe_due = min(server.probe_due, now + PLACEMENT_REPORT_DELAY * self.attempt_timeout)
         self._earn_probe_credit(PERIODIC_PROBE_SHARE if len(server.tunnels) > FEW_OWN_TUNNELS else 0.0)
 
     def _place(self, tunnel: Tunnel, now: float) -> None:
-        """Sends a held tunnel on, keeps it held while a server may yet turn up, or answers it."""
+        """Offers a tunnel to ready servers, queues it while one may become ready, or answers it unopened."""
         if (
             now >= tunnel.deadline
             or len(tunnel.setups) >= self.max_setups
@@ -887,40 +972,46 @@
             self._queue_or_answer(tunnel, now)
 
     def _queue_or_answer(self, tunnel: Tunnel, now: float) -> None:
-        # Guards rule 1: what can't wait for the next look is answered now.
+        """Rule 1: queues a tunnel, or answers it now if it can not wait for the next timer."""
         (self._enqueue if self._is_worth_queueing(tunnel, now) else self._answer_unopened)(tunnel, now)
 
     def _assign_planned_zone(self, tunnel: Tunnel) -> bool:
-        """The tier's plan, where there is one: a zone by its shares, the same at each try of a client. What
-        is missing to 1 no zone can bear: it is turned away where it came, and handed on to nobody."""
-        left = (
+        """Assigns a zone by the shares of the cluster's plan; gives whether the tunnel is served.
+
+        The zone is the same at each attempt of a client. The part by which the shares fall short of 1 exceeds
+        what the zones can bear: such a tunnel is answered unopened here and not passed on.
+        """
+        remaining = (
             (tunnel.group_hash if tunnel.group else _hash_name(tunnel.key)) / MAX_HASH
             if self.zone_shares
             else 0.0
         )
         for zone, share in enumerate(self.zone_shares.get(tunnel.profile, ()) if not tunnel.setups else ()):
-            left -= share
-            if left < 0.0:
+            remaining -= share
+            if remaining < 0.0:
                 tunnel.planned_zone = zone
                 return True
         return bool(tunnel.setups) or not self.zone_shares
 
     def _enqueue(self, tunnel: Tunnel, now: float) -> None:
+        """Queues a tunnel until the next timer."""
         self.queue[tunnel] = None
         self._schedule_timer(now, self.timer_interval)
 
     def _is_worth_queueing(self, tunnel: Tunnel, now: float) -> bool:
-        """Waiting may help: a list, a report or a cold budget may come."""
+        """Whether waiting may help, as a list, a report or slow-start budget may come in time."""
         if not self._is_freely_retryable(tunnel) and not all(
             self._is_eligible(tunnel, server, now) for server in self.active_servers
         ):
             return False
-        left = tunnel.deadline - now
+        remaining = tunnel.deadline - now
         return (
-            left > self.timer_interval and left > (1.0 - MAX_QUEUE_TIME_SHARE) * tunnel.profile.client_timeout
+            remaining > self.timer_interval
+            and remaining > (1.0 - MAX_QUEUE_TIME_SHARE) * tunnel.profile.client_timeout
         )
 
     def _send_setup(self, tunnel: Tunnel, server: Server, now: float) -> None:
+        """Starts a setup of a tunnel at a server."""
         self.queue.pop(tunnel, None)
         tunnel.setups.append(Setup(server, now))
         tunnel.transition_to(State.SETTING_UP)
@@ -934,25 +1025,35 @@
         self.host.setup(tunnel, server, min(tunnel.profile.attempt_timeout, tunnel.deadline - now))
 
     def _find_refusal_reason(self, tunnel: Tunnel, now: float) -> str:
-        """What kept a tunnel from a server, for the log: of what keeps servers back, what was nearest."""
-        able = [server for server in self.active_servers if self._is_eligible(tunnel, server, now)]
-        well = [server for server in able if max(server.ejected_until, server.unstable_until) <= now]
-        room = self._select_with_capacity(tunnel, well, now)
-        may_get = [server for server in room if self._may_receive_tunnel(server, now)]
-        steps = (
-            (self.active_servers, "no_list"), (len(tunnel.setups) < self.max_setups, "setups"),
-            (not self._is_paused(now), "pause"), (able, "no_repeat"), (well, "ejected"), (room, "full"),
-            (may_get, "cold"),
+        """Names for the log the first check that leaves no server to a tunnel."""
+        eligible = [server for server in self.active_servers if self._is_eligible(tunnel, server, now)]
+        not_ejected = [
+            server for server in eligible if max(server.ejected_until, server.unstable_until) <= now
+        ]
+        with_capacity = self._select_with_capacity(tunnel, not_ejected, now)
+        within_budget = [server for server in with_capacity if self._may_receive_tunnel(server, now)]
+        checks = (
+            (self.active_servers, "no_list"),
+            (len(tunnel.setups) < self.max_setups, "setups"),
+            (not self._is_paused(now), "pause"),
+            (eligible, "no_repeat"),
+            (not_ejected, "ejected"),
+            (with_capacity, "full"),
+            (within_budget, "cold"),
             (
-                may_get
-                and (not self._requires_affinity(tunnel, now) or self._select_by_affinity(tunnel, may_get)),
+                within_budget
+                and (
+                    not self._requires_affinity(tunnel, now)
+                    or self._select_by_affinity(tunnel, within_budget)
+                ),
                 "home",
             ),
-        )  # fmt: skip
-        return next((why for holds, why in steps if not holds), "time")
+        )
+        return next((reason for passed, reason in checks if not passed), "time")
 
-    def _answer_unopened(self, tunnel: Tunnel, now: float, why: str = "") -> None:
-        tunnel.refusal_reason = why or self._find_refusal_reason(tunnel, now)
+    def _answer_unopened(self, tunnel: Tunnel, now: float, reason: str = "") -> None:
+        """Declines a tunnel, or closes it with error where a decline is not allowed or too late."""
+        tunnel.refusal_reason = reason or self._find_refusal_reason(tunnel, now)
         self.declined[tunnel.refusal_reason] += 1
         self.queue.pop(tunnel, None)
         tunnel.transition_to(State.ENDED)
@@ -963,6 +1064,7 @@
             self.host.close_with_error(tunnel)
 
     def setup_opened(self, tunnel: Tunnel, number: int, now: float) -> None:
+        """Records that a setup opened its tunnel, unless that has ended or gone on to another setup."""
         if tunnel.state is State.SETTING_UP and number == len(tunnel.setups) - 1:
             tunnel.transition_to(State.OPEN)
             setup = tunnel.setups[number]
@@ -985,24 +1087,32 @@
             self.retry_budget = min(self.retry_budget + RETRY_BUDGET_GAIN, self.max_retry_budget)
 
     def may_write_request(self, tunnel: Tunnel, number: int, now: float) -> bool:
-        """Its connection is up: rules 1 to 3 bind what is written now, not only what was chosen before."""
+        """Whether the request may be written now that the connection is up.
+
+        Rules 1 to 3 apply at this moment and not only when the server was selected.
+        """
         setup = tunnel.setups[number]
-        holds = (
+        is_current = (
             setup.in_progress
             and tunnel.state is State.SETTING_UP
             and setup.server.active
             and now < tunnel.deadline
         )
-        setup.may_have_run = holds and self._is_eligible(tunnel, setup.server, now)
-        # Guards rule 4 where a restart was told while it was dialled: the new process has its own budget.
+        setup.may_have_run = is_current and self._is_eligible(tunnel, setup.server, now)
+        # Guards rule 4: the list may have told a restart meanwhile, and the new process has its own budget.
         if setup.may_have_run and setup.server.started_at != setup.server_started_at:
             setup.may_have_run = self._has_slow_start_budget(setup.server, now)
             setup.server.slow_start_budget -= setup.may_have_run and setup.server.warm_at > now
         return setup.may_have_run
 
     def setup_ended(
-        self, tunnel: Tunnel, number: int, ending: Ending, closed: bool, told: Report, now: float
+        self, tunnel: Tunnel, number: int, ending: Ending, closed: bool, report: Report, now: float
     ) -> None:
+        """Records the end of a setup, or of the tunnel that it opened, and tries again where that is allowed.
+
+        `closed`: the client's connection is closed. `report`: the server's load report, if one came with the
+        end.
+        """
         setup = tunnel.setups[number]
         setup.in_progress, setup.may_have_run, was_open = (
             False,
@@ -1015,22 +1125,24 @@
         )
         if not was_open and ending in ("timeout", "full", "error", "no-connection"):
             self.consecutive_unopened, self.last_unopened_at = self.consecutive_unopened + 1, now
-        if told:
-            self._record_report(setup.server, told, now)
-        setup.erred = ending == "error" and not was_open
-        blamed = [s.server for s in tunnel.setups[:number] if s.erred and s.server is not setup.server]
-        spoilt = setup.erred and bool(blamed)
-        if spoilt:
-            # Guards the servers' standing against a tunnel that each of them fails: no third one is tried.
-            for server in blamed:
+        if report:
+            self._record_report(setup.server, report, now)
+        setup.ended_in_error = ending == "error" and not was_open
+        earlier_failed = [
+            s.server for s in tunnel.setups[:number] if s.ended_in_error and s.server is not setup.server
+        ]
+        failed_elsewhere = setup.ended_in_error and bool(earlier_failed)
+        if failed_elsewhere:
+            # Guards servers against ejection for a tunnel that each of them fails: no third one is tried.
+            for server in earlier_failed:
                 server.ejected_until, server.recent_failures = now, max(0, server.recent_failures - 1)
         elif ending in ("error", "timeout", "no-connection") or (ending == "full" and setup.server.active):
             self._record_failure(setup.server, ending, now)
-        elif ending == "reset":  # a process that ends breaks all at once; one overdriven does not
+        elif ending == "reset":  # a process that ends breaks all tunnels at once, an overloaded one does not
             setup.server.probe_due = min(setup.server.probe_due, now)
-            at_once = now <= setup.server.broken_at + self.timer_interval
+            same_moment = now <= setup.server.broken_at + self.timer_interval
             setup.server.broken_tunnels, setup.server.broken_at = (
-                1 + setup.server.broken_tunnels * at_once,
+                1 + setup.server.broken_tunnels * same_moment,
                 now,
             )
         if tunnel.state is State.ENDED:
@@ -1043,48 +1155,54 @@
                 setup.server.unreported_placements.remove(setup.sent_at)
                 self._update_load_estimate(setup.server)
             tunnel.transition_to(State.QUEUED)
-            # Guards against a storm of our own making: where little is opened, little is tried again.
-            if self.retry_budget >= 1.0 and not spoilt:
+            # Guards against a storm of own retries: where few setups open, few are repeated.
+            if self.retry_budget >= 1.0 and not failed_elsewhere:
                 self.retry_budget -= 1.0
                 self._place(tunnel, now)
             else:
                 self._answer_unopened(tunnel, now, "retries")
-        else:  # an open tunnel whose end was not final
+        else:  # an open tunnel whose client is still connected
             tunnel.transition_to(State.ENDED)
             self.host.close_with_error(tunnel)
 
     def client_left(self, tunnel: Tunnel, now: float) -> None:
+        """Records that the client left; cancels setups that may be cancelled or were not sent yet."""
         self.queue.pop(tunnel, None)
         if tunnel.state is State.ENDED:
             return
         was_open = tunnel.state is State.OPEN
         tunnel.transition_to(State.ENDED)
         for number, setup in enumerate(() if was_open else tunnel.setups):
-            if setup.in_progress and (
-                self.may_cancel or not setup.may_have_run
-            ):  # what was not sent can be dropped
+            if setup.in_progress and (self.may_cancel or not setup.may_have_run):
                 self.host.cancel(tunnel, number)
 
     def record_load(self, tunnel: Tunnel, load: float, now: float) -> None:
-        """Guards against a tunnel that grows heavy while its server's last report still looks well."""
+        """Records a tunnel's load, in work a second.
+
+        Guards against a tunnel that grows heavy while its server's last report still looks well.
+        """
         if tunnel.state is State.OPEN:
             server = tunnel.setups[-1].server
-            usual = self._mean_tunnel_load(server.tunnels)
-            if (load - (tunnel.load or usual)) * self.load_per_tunnel >= MAX_UNREPORTED_LOAD * usual:
+            mean_load = self._mean_tunnel_load(server.tunnels)
+            if (load - (tunnel.load or mean_load)) * self.load_per_tunnel >= MAX_UNREPORTED_LOAD * mean_load:
                 server.probe_due = min(server.probe_due, now + PLACEMENT_REPORT_DELAY * self.attempt_timeout)
         tunnel.load = load
 
     @staticmethod
     def _mean_tunnel_load(tunnels: Iterable[Tunnel]) -> float:
+        """Gives the mean of the known loads of tunnels, 1.0 if none is known."""
         known = [tunnel.load for tunnel in tunnels if tunnel.load]
         return sum(known) / len(known) if known else 1.0
 
     def record_delay(self, tunnel: Tunnel, delay: float, now: float) -> None:
-        """Messages at its server take long: it is asked for its load and suspended, and a part of its tunnels
-        is moved off as from one asked for too much, again after LATE unless messages grow quicker. Guards
-        against whatever is slow for this balancer while reports look well: an untrue or old report, a noisy
-        neighbour, an ageing machine, a way, a slow-down of all. Own messages are evidence that a report is
-        not. It hurts where one tunnel's messages are slow by themselves, until quick ones lift it."""
+        """Records the delay of a message; a slow one ejects the server and migrates a part of its tunnels.
+
+        The server is probed and treated like an overloaded one, again after PLACEMENT_REPORT_DELAY unless
+        its messages become quicker. Guards against a server that is slow for this balancer while reports look
+        well: because of a false or old report, a noisy neighbour, an ageing machine, a network path, or a
+        slow-down of all servers. Own messages are evidence that reports are not. The cost: one tunnel with
+        slow messages of its own ejects its server until quick messages end that.
+        """
         if tunnel.state is not State.OPEN:
             return
         server = tunnel.setups[-1].server
@@ -1100,17 +1218,24 @@
                 self._migrate_excess(server, now, PLACEMENT_REPORT_DELAY)
         server.message_delay = delay
 
-    def record_silence(self, tunnel: Tunnel, span: float, now: float) -> None:
-        """Guards against a machine that vanishes: its connections stay open and bring nothing back."""
-        if tunnel.state is State.OPEN and span >= min(
+    def record_silence(self, tunnel: Tunnel, silence: float, now: float) -> None:
+        """Records how long a tunnel's server has been silent; a tunnel of one that is gone is migrated.
+
+        Guards against a machine that vanishes, as its connections stay open.
+        """
+        if tunnel.state is State.OPEN and silence >= min(
             SILENCE_TIMEOUT * self.attempt_timeout, MAX_SILENCE_SECONDS
         ):
             self._record_failure(tunnel.setups[-1].server, "timeout", now)
             tunnel.transition_to(State.ENDED)
             self.host.migrate(tunnel)
 
-    # Health.
+    # Ejection, restarts and recovery.
     def _record_failure(self, server: Server, ending: Ending, now: float) -> None:
+        """Ejects a server after a failure, for longer with each recent one.
+
+        A refused connection also means that the server has no process.
+        """
         server.trial_due = now + PLACEMENT_REPORT_DELAY * self.attempt_timeout * self.uniform(0.5, 1.5)
         if server.ejected_until <= now:
             server.recent_failures = min(server.recent_failures + 1, 4)
@@ -1121,59 +1246,66 @@
             self.process_losses[server.cell].extend(() if server.process_missing else (now,))
             server.refused_at = now
             self._mark_process_missing(server, now)
-            # Many of an old list, never heard: the power of all may have gone, so none is taken to be warm.
-            old = [other for other in self.active_servers if other.unconfirmed]
-            gone = (
-                sum(other.process_missing and other.reported_at < 0.0 for other in old) >= MIN_PROCESS_LOSSES
+            # Several servers of an old list, never heard: all may have lost power, so none counts as warm.
+            unconfirmed = [other for other in self.active_servers if other.unconfirmed]
+            power_lost = (
+                sum(other.process_missing and other.reported_at < 0.0 for other in unconfirmed)
+                >= MIN_PROCESS_LOSSES
             )
-            for other in [o for o in old if o.warm_at <= now] if gone else ():
+            for other in [unheard for unheard in unconfirmed if unheard.warm_at <= now] if power_lost else ():
                 self._mark_unconfirmed(other, now)
 
     def _may_have_restarted(self, server: Server, now: float) -> bool:
-        """Several of its cell lost their process lately, and of this one nothing was seen since: no report,
-        no own tunnel that stands. Guards rule 4 where a rack or all power goes: a balancer that had nothing
-        there would fill it at once. It hurts what was idle before."""
-        first, last = self.process_losses[server.cell]
-        seen = server.reported_at >= last or any(
-            tunnel.setups[-1].sent_at < last for tunnel in server.tunnels
+        """Whether a server may have restarted unnoticed, as several of its cell lost their process lately.
+
+        That holds until a report or an own open tunnel shows that it is up. Guards rule 4 where a rack loses
+        power: a balancer without tunnels there would fill such a server at once. The cost: servers that were
+        idle before are taken to be cold.
+        """
+        first_loss, last_loss = self.process_losses[server.cell]
+        seen = server.reported_at >= last_loss or any(
+            tunnel.setups[-1].sent_at < last_loss for tunnel in server.tunnels
         )
-        return not seen and now - first < self.warm_up_window
+        return not seen and now - first_loss < self.warm_up_window
 
-    def _mark_process_missing(self, server: Server, at: float) -> None:
-        """It has no process. Until it is heard, it may get what one that starts then may."""
+    def _mark_process_missing(self, server: Server, missing_since: float) -> None:
+        """Records that a server has no process; until it answers it may get what a starting one may."""
         if not server.process_missing:
             server.process_missing = True
             server.longest_uptime = (
-                max(server.longest_uptime, at - server.recovered_at)
-                if at - server.recovered_at < HISTORY_SECONDS
+                max(server.longest_uptime, missing_since - server.recovered_at)
+                if missing_since - server.recovered_at < HISTORY_SECONDS
                 else 0.0
             )
             server.previous_warm_at, server.warm_at = server.warm_at, inf
             server.slow_start_budget, server.budget_updated_at = (
                 min(server.slow_start_budget, self.uniform(0.0, 1.0)),
-                at,
+                missing_since,
             )
 
-    def _record_return(self, server: Server, figure: float | None, load: float, now: float) -> None:
-        """One that had no process, or broke own tunnels at a moment, answers again. Rule 4, where no list
-        tells: it was out of reach or full if it holds half of what it and all others did, and own tunnels
-        stand or its load is more than a new one grows to; not after both. Else it started now: its report
-        before may be an old one, and others may fill it at once. It hurts one that emptied meanwhile."""
-        at, before = (
+    def _record_return(self, server: Server, busy: float | None, load: float, now: float) -> None:
+        """Decides whether a server that had no process, or broke own tunnels at one moment, has restarted.
+
+        Applies rule 4 where no list tells. The process is the former one, which was unreachable or full, if
+        its busy figure is over half of its own former one and of the mean, and either own tunnels are still
+        open or its load is more than a restarted one could have by now; but not if it both had no process and
+        broke tunnels. Otherwise it has started now: its former report may be old, and other balancers may
+        fill it at once. The cost: a server that emptied meanwhile counts as cold.
+        """
+        lost_at, previous_busy = (
             max(server.refused_at, server.broken_at),
             max(self.mean_busy, server.reported_busy or 0.0),
         )
         warm_at = server.previous_warm_at if server.process_missing else server.warm_at
-        told = (
-            server.reported_busy is None and warm_at > now and not server.start_inferred
-        )  # started lately, and not heard since
-        old = (
-            any(t.setups[-1].sent_at < at for t in server.tunnels)
-            or self._min_seconds_to_reach(load) > now - at + self.attempt_timeout
+        # Started lately by the list, and without a report since.
+        start_known = server.reported_busy is None and warm_at > now and not server.start_inferred
+        is_older = (
+            any(t.setups[-1].sent_at < lost_at for t in server.tunnels)
+            or self._min_seconds_to_reach(load) > now - lost_at + self.attempt_timeout
         )
-        if told or (
-            old
-            and (figure or 0.0) > RESTART_LOAD_RATIO * before
+        if start_known or (
+            is_older
+            and (busy or 0.0) > RESTART_LOAD_RATIO * previous_busy
             and not (server.process_missing and server.broken_tunnels >= MIN_BROKEN_TUNNELS)
         ):
             server.warm_at = warm_at
@@ -1184,26 +1316,31 @@
         self._record_recovery(server, now)
 
     def _min_seconds_to_reach(self, load: float) -> float:
-        """How long a load takes at least to come within the budget that all spend on one that starts."""
+        """Gives the least time in which the budget of all balancers fills a starting server to a load."""
         return (
             load * self.warm_up_window / (SLOW_START_SAFETY_FACTOR * MAX_RELATIVE_SIZE * self.overload_factor)
         )
 
     @staticmethod
-    def _record_recovery(server: Server, at: float) -> None:
-        """Guards against a server that fails by turns, whatever the cause: it would break tunnels each time.
-        Once it has fallen again within LONG it is held back for longer than it ever stayed up; one that
-        restarts once is not. It hurts one just mended after several falls, for as long as those lay apart."""
+    def _record_recovery(server: Server, recovered_at: float) -> None:
+        """Ends the state without a process; a server that failed again lately stays out for a while.
+
+        Guards against a server that fails repeatedly, whatever the cause, and breaks tunnels each time: if it
+        failed again within HISTORY_SECONDS, it has to be up longer than its longest uptime before it is
+        ready. One that restarts once is ready at once. The cost: a server repaired after several failures is
+        out for as long as these lay apart.
+        """
         if server.process_missing:
-            server.process_missing, server.recovered_at = False, at
-            server.unstable_until = at + UNSTABLE_PAUSE_FACTOR * server.longest_uptime
+            server.process_missing, server.recovered_at = False, recovered_at
+            server.unstable_until = recovered_at + UNSTABLE_PAUSE_FACTOR * server.longest_uptime
 
-    # Reports.
+    # Reports and migration.
     def probe_ended(self, server: Server, ending: Ending, report: Report, now: float) -> None:
+        """Records the end of a probe and its report, and continues the tunnels that waited for it."""
         server.probing, server.answered_at = False, now
         if ending == "ok":
             self._clear_stale(server, now)
-        elif ending == "moot":  # it never went out
+        elif ending == "moot":  # it was not sent
             self.probe_credit += self.probe_price
         if ending == "ok" and report:
             self._record_report(server, report, now)
@@ -1215,104 +1352,121 @@
         self._resume_after_probe(server, now)
 
     def _record_report(self, server: Server, report: Report, now: float) -> None:
+        """Takes over the figures of a load report and updates the estimates for its server."""
         load = report.get("load", 0.0)
-        figure = next((report[word] for word in ("connections", "load", "backlog") if word in report), None)
-        empty = (
-            self._may_have_restarted(server, now) and (figure or 0.0) <= RESTART_LOAD_RATIO * self.mean_busy
+        busy = next((report[field] for field in ("connections", "load", "backlog") if field in report), None)
+        restarted_unseen = (
+            self._may_have_restarted(server, now) and (busy or 0.0) <= RESTART_LOAD_RATIO * self.mean_busy
         )
-        if server.process_missing or server.broken_tunnels >= MIN_BROKEN_TUNNELS or empty:
-            self._record_return(server, figure, load, now)
+        if server.process_missing or server.broken_tunnels >= MIN_BROKEN_TUNNELS or restarted_unseen:
+            self._record_return(server, busy, load, now)
         server.reported_load, server.reported_at, server.answered_at = load, now, now
         if server.start_inferred:
             server.warm_at = min(server.warm_at, now - self._min_seconds_to_reach(load) + self.warm_up_window)
-        server.reported_busy = server.reported_busy if figure is None else figure
-        # Guards against reports that are late: what was placed just before is not in them yet.
-        cut = now - PLACEMENT_REPORT_DELAY * self.attempt_timeout
-        server.unreported_placements = [at for at in server.unreported_placements if at > cut]
+        server.reported_busy = server.reported_busy if busy is None else busy
+        # Guards against reports that lag: they do not include what was placed just before.
+        reported_until = now - PLACEMENT_REPORT_DELAY * self.attempt_timeout
+        server.unreported_placements = [at for at in server.unreported_placements if at > reported_until]
         if "load" in report:
-            self._update_max_load_per_tunnel(server, now, cut)
+            self._update_max_load_per_tunnel(server, now, reported_until)
             server.assumed_peer_load = self.uniform(0.0, self._max_peer_load(now))
         self._update_load_estimate(server)
         if not self.c_initialised:
             self._initialise_threshold()
 
-    def _migrate_excess(self, server: Server, now: float, settle: float = MIGRATION_REPORT_DELAY) -> None:
-        """Moves this balancer's share of what a server holds too much. Guards against a server asked for more
-        than it can do: it would answer late and drop tunnels anyway. All hear the same load: the same part of
-        each one's tunnels takes it to the level, a crowded fleet's median, against clients sent round. Where
-        that is under its top, it gives up whole groups, the least at home first: light tunnels keep what
-        groups cost."""
+    def _migrate_excess(
+        self, server: Server, now: float, report_delay: float = MIGRATION_REPORT_DELAY
+    ) -> None:
+        """Migrates this balancer's share of a server's load in excess of the migration target.
+
+        Guards against an overloaded server, which would answer late and drop tunnels anyway. All balancers
+        receive the same load, and the same share of each one's tunnels brings it down to the target. That is
+        at least the median load of the fleet, lest clients go round between loaded servers.
+
+        While the target is under its maximum, a server with a load of 1 or more gives up whole groups, the
+        ones farthest from their preferred servers first: without the heavy tunnels alone it would still bear
+        the cost of the groups. Otherwise the heaviest tunnels go first, then the newest, so that few clients
+        are moved.
+        """
         server.migrated_share = (
-            0.0 if now - server.migrated_at >= settle * self.attempt_timeout else server.migrated_share
+            0.0 if now - server.migrated_at >= report_delay * self.attempt_timeout else server.migrated_share
         )
         if server.reported_load < self.migration_target + MIGRATION_MARGIN or not server.tunnels:
             return
-        # What was moved off so lately is not in the report yet.
-        part = 1.0 - self.migration_target / server.reported_load / (1.0 - server.migrated_share)
-        if part < MIGRATION_MARGIN * bool(server.migrated_share):
+        # The report does not show a recent migration yet.
+        share = 1.0 - self.migration_target / server.reported_load / (1.0 - server.migrated_share)
+        if share < MIGRATION_MARGIN * bool(server.migrated_share):
             return
-        server.migrated_share, server.migrated_at = 1.0 - (1.0 - server.migrated_share) * (1.0 - part), now
-        if len(server.tunnels) > FEW_OWN_TUNNELS:  # whether it was enough
+        server.migrated_share, server.migrated_at = 1.0 - (1.0 - server.migrated_share) * (1.0 - share), now
+        if len(server.tunnels) > FEW_OWN_TUNNELS:  # to learn whether this was enough
             server.probe_due = min(server.probe_due, now + MIGRATION_REPORT_DELAY * self.attempt_timeout)
-        whole = (
+        whole_groups = (
             server.reported_load >= 1.0
             and self.migration_target < MAX_MIGRATION_TARGET
             and len(server.tunnels) > FEW_OWN_TUNNELS
         )
-        usual = self._mean_tunnel_load(server.tunnels)
-        cost = self._mean_tunnel_load(
-            tunnel for at in self.active_servers for tunnel in at.tunnels
-        )  # about what a group costs
+        mean_load = self._mean_tunnel_load(server.tunnels)
+        # A group costs about as much as a mean tunnel.
+        group_cost = self._mean_tunnel_load(
+            tunnel for any_server in self.active_servers for tunnel in any_server.tunnels
+        )
         units: dict[Tunnel | str, list[Tunnel]] = {}
         for tunnel in reversed(server.tunnels):
-            units.setdefault((whole and tunnel.group) or tunnel, []).append(tunnel)
-        weight = {u: sum(t.load or usual for t in units[u]) + cost * isinstance(u, str) for u in units}
-        excess = part * sum(weight.values())
-        # Else the heaviest first, then the newest: the fewest clients are sent round.
-        far = {
+            units.setdefault((whole_groups and tunnel.group) or tunnel, []).append(tunnel)
+        weights = {
+            key: sum(t.load or mean_load for t in units[key]) + group_cost * isinstance(key, str)
+            for key in units
+        }
+        excess = share * sum(weights.values())
+        priority = {
             unit: self._affinity_distance(units[unit][0], server) if isinstance(unit, str) else unit.load
             for unit in units
         }
-        for unit in sorted(units, key=lambda u: -far[u]):
-            if excess < weight[unit] * self.random():
+        for unit in sorted(units, key=lambda key: -priority[key]):
+            if excess < weights[unit] * self.random():
                 break
-            excess -= weight[unit]
+            excess -= weights[unit]
             for tunnel in units[unit]:
                 tunnel.transition_to(State.ENDED)
                 self.host.migrate(tunnel)
 
-    # By the clock.
+    # The timer and the control pass.
     def _schedule_timer(self, now: float, delay: float) -> None:
+        """Requests a timer unless an earlier one is pending."""
         if now + delay < self.timer_at - 1e-6:
             self.timer_at = now + delay
             self.host.set_timer(delay)
 
     def timer_due(self, now: float) -> None:
+        """Runs the control pass or probes that are due, and serves the queue."""
         if now < self.timer_at - 1e-3:
-            return  # a timer that an earlier one has overtaken
+            return  # superseded by an earlier timer
         self.timer_at = inf
         try:
             if now >= self.next_pass_due:
                 self._run_control_pass(now)
             elif now >= self.next_estimate_due and self.may_probe:
-                # Guards tunnels that wait from being declined just before a report can tell of room.
+                # Guards queued tunnels against a decline just before a report could show capacity.
                 self._probe_servers(now)
             self._serve_queue(now)
-        finally:  # guards who waits against a fault here: without the next tick nobody would be served again
+        finally:  # after an internal error, too: without the next timer no queued tunnel is served again
             self._schedule_timer(
                 now, self.timer_interval if self.queue else max(self.next_pass_due - now, self.timer_interval)
             )
 
     def _run_control_pass(self, now: float) -> None:
-        span, self.last_pass_at = now - self.last_pass_at, now
+        """Updates rates, threshold and estimates, and sends due requests for the list and probes."""
+        elapsed, self.last_pass_at = now - self.last_pass_at, now
         self.next_pass_due = now + self.attempt_timeout
         self.arrival_rate += (
-            (self.arrivals - self.arrival_rate * span) * min(1.0, span / HISTORY_SECONDS) / max(span, 1e-6)
+            (self.arrivals - self.arrival_rate * elapsed)
+            * min(1.0, elapsed / HISTORY_SECONDS)
+            / max(elapsed, 1e-6)
         )
-        lately = min(1.0, span / (SCARCITY_DURATION * self.attempt_timeout)) / max(span, 1e-6)
-        self.recent_arrival_rate += (self.arrivals - self.recent_arrival_rate * span) * lately
+        smoothing = min(1.0, elapsed / (SCARCITY_DURATION * self.attempt_timeout)) / max(elapsed, 1e-6)
+        self.recent_arrival_rate += (self.arrivals - self.recent_arrival_rate * elapsed) * smoothing
         self.arrivals = 0
-        # Guards tunnels on a quiet day, where hardly any opens, from being declined at their first failure.
+        # Guards tunnels against a decline at their first failure while hardly any tunnel opens.
         self.retry_budget = min(self.retry_budget + RETRY_BUDGET_GAIN, self.max_retry_budget)
         if self.list_is_polled and not self.is_watching_list and now >= self.list_request_due:
             self._request_list(now)
@@ -1320,161 +1474,182 @@
             self._adapt_threshold(now)
         if now - self.peak_started_at >= HISTORY_SECONDS:
             self.previous_peak_busy, self.peak_busy, self.peak_started_at = self.peak_busy, 0.0, now
-        self._update_fleet_estimates(span)
-        young = sum(
+        self._update_fleet_estimates(elapsed)
+        recently_started = sum(
             server.start_listed and server.warm_at > now - self.warm_up_window
             for server in self.active_servers
         )
         self.is_fleet_renewing = self.balancer_count > len(
             self.active_servers
-        ) and young > FLEET_RENEWAL_SHARE * len(self.active_servers)
+        ) and recently_started > FLEET_RENEWAL_SHARE * len(self.active_servers)
         self.peer_load_rate = (
             self.recent_arrival_rate * self._load_per_peer_placement(now) if self.is_fleet_renewing else 0.0
         )
         if self.may_probe:
             self._probe_servers(now)
 
-    def _update_fleet_estimates(self, span: float) -> None:
-        """What the limit is, what one tunnel adds to a load, and what a cold server may get."""
-        heard = self._servers_with_reports()
-        total = sum(server.reported_load for server in heard)
-        if heard:
-            self.mean_load = total / len(heard)
-            self.mean_busy = sum(self._estimated_busy(server, 0.0) for server in heard) / len(heard)
-            # Guards a server from a fleet's tunnels that all find it first, as a home or as new: where
-            # loads are not told, none takes over 1.25 times the mean of connections at those in use, by what
-            # it can do at its age; with those to come, if several wait here. It hurts who could do more.
-            well = [
+    def _update_fleet_estimates(self, elapsed: float) -> None:
+        """Updates the limits, the load of one tunnel, and the rate at which cold servers may be filled."""
+        reporting = self._servers_with_reports()
+        total = sum(server.reported_load for server in reporting)
+        if reporting:
+            self.mean_load = total / len(reporting)
+            self.mean_busy = sum(self._estimated_busy(server, 0.0) for server in reporting) / len(reporting)
+            # Guards a server against the tunnels of all balancers at once, as a preferred or a new one: where
+            # loads are not reported, each takes at most 1.25 times the mean connections of usable servers, by
+            # its capacity at its age; expected ones count if several tunnels are queued here. The cost:
+            # servers that could take more are held back.
+            usable = [
                 server
-                for server in heard
+                for server in reporting
                 if server.ejected_until <= self.last_pass_at and not server.process_missing
             ]
             if (
-                well
+                usable
                 and not self.reports_load
                 and not self.busy_is_fraction
                 and self.balancer_count > len(self.active_servers)
             ):
-                able = sum(self._available_capacity(server, self.last_pass_at) for server in well)
-                come = max(0, len(self.queue) - 1) * self.balancer_count
-                stand = sum(self._estimated_busy(server, 0.0) for server in well)
+                capacity = sum(self._available_capacity(server, self.last_pass_at) for server in usable)
+                expected = max(0, len(self.queue) - 1) * self.balancer_count
+                connections = sum(self._estimated_busy(server, 0.0) for server in usable)
                 self.connection_limit = (
-                    max(1.0, (stand + come) / able) * MAX_MIGRATION_TARGET / MAX_LOAD_LIMIT
+                    max(1.0, (connections + expected) / capacity) * MAX_MIGRATION_TARGET / MAX_LOAD_LIMIT
                 )
-            # Guards against tunnels that wait while no server is near its top; a plan says how full they get.
-            usual = (
+            # Guards against queued tunnels while no server is near the maximum; a plan sets the load itself.
+            limit = (
                 MAX_LOAD_LIMIT
                 if self._has_queued_tunnels()
                 else min(max(MIN_LOAD_LIMIT, LOAD_LIMIT_OVER_MEAN * self.mean_load), MAX_LOAD_LIMIT)
             )
-            self.load_limit = MAX_MIGRATION_TARGET if self.zone_shares else usual
-            median = sorted(server.reported_load for server in heard)[len(heard) // 2]
+            self.load_limit = MAX_MIGRATION_TARGET if self.zone_shares else limit
+            median = sorted(server.reported_load for server in reporting)[len(reporting) // 2]
             self.migration_target = min(max(self.load_limit, median), MAX_MIGRATION_TARGET)
-        count = sum(len(server.tunnels) for server in heard)
-        if count >= 2 * len(heard) > 0:
-            # Never nought, also where no load is reported. It rises slowly: guards one that has just started,
-            # holds few tunnels where the others hold many, and would find all servers full.
-            seen = (
-                max(total / (count * self.balancer_count), MIN_LOAD_PER_TUNNEL)
+        tunnel_count = sum(len(server.tunnels) for server in reporting)
+        if tunnel_count >= 2 * len(reporting) > 0:
+            # Never zero, also where no load is reported. It rises slowly: guards a balancer that has just
+            # started and holds few tunnels, while the others hold many, against finding all servers full.
+            observed = (
+                max(total / (tunnel_count * self.balancer_count), MIN_LOAD_PER_TUNNEL)
                 if total
                 else DEFAULT_LOAD_STEP
             )
             self.load_per_tunnel = min(
-                seen, self.load_per_tunnel + (seen - self.load_per_tunnel) * min(1.0, span / HISTORY_SECONDS)
+                observed,
+                self.load_per_tunnel
+                + (observed - self.load_per_tunnel) * min(1.0, elapsed / HISTORY_SECONDS),
             )
             self.busy_per_tunnel = self.load_per_tunnel if self.busy_is_fraction else self.busy_per_tunnel
         for server in self.active_servers:
             self._update_load_estimate(server)
-        # Rule 4. A server that starts can take as many tunnels a second as fill it over its warm-up. Settings
-        # tell what fills it: guards against a storm that raises it, and many tunnels that seem to be light.
-        warm = 1.0 / (max(self.load_per_tunnel, self.initial_load_per_tunnel) * self.warm_up_window)
+        # Rule 4: a starting server can take as many tunnels a second as fill it over its warm-up window. The
+        # settings give a lower bound of a tunnel's load: guards against a storm, or many tunnels that seem
+        # light, which would raise the rate.
+        warm_rate = 1.0 / (max(self.load_per_tunnel, self.initial_load_per_tunnel) * self.warm_up_window)
         self.slow_start_rate = (
-            SLOW_START_SAFETY_FACTOR * self.overload_factor * warm / self.balancer_count * self.budget_share
+            SLOW_START_SAFETY_FACTOR
+            * self.overload_factor
+            * warm_rate
+            / self.balancer_count
+            * self.budget_share
         )
 
-    def set_budget_share(self, part: float, now: float) -> None:
-        """Rule 4: balancers lend one another parts of the budget; what was saved is by the part before."""
+    def set_budget_share(self, share: float, now: float) -> None:
+        """Rule 4: sets the own share of the slow-start budget, as balancers lease parts of it to one another.
+
+        What was saved so far counts by the share before.
+        """
         for server in self.active_servers:
             self._has_slow_start_budget(server, now)
-        self.slow_start_rate, self.budget_share = self.slow_start_rate / self.budget_share * part, part
+        self.slow_start_rate, self.budget_share = self.slow_start_rate / self.budget_share * share, share
 
     def _probe_servers(self, now: float) -> None:
-        """Probes each server so often that these probes cost a set part of the credit asked for."""
-        live = self.active_servers
-        every = max(
-            len(live) * self.probe_price / (max(self.arrival_rate, 0.01) * PERIODIC_PROBE_SHARE),
+        """Probes each server so often that these probes cost a fixed part of the arriving tunnels' credit."""
+        active = self.active_servers
+        interval = max(
+            len(active) * self.probe_price / (max(self.arrival_rate, 0.01) * PERIODIC_PROBE_SHARE),
             2 * self.timer_interval,
         )
-        self._choose_subset(every)
-        every *= len(self.server_subset or live) / max(1, len(live))
-        waits = (
-            self.balancer_count <= len(live) and self._has_queued_tunnels()
-        )  # else each asks for too few tunnels
-        # From a start by chance: where not all can be probed, balancers probe others.
-        use = self.server_subset or live
-        first = int(self.random() * len(use))
-        for server in use[first:] + use[:first]:
-            # Guards against tunnels that wait for servers which have long had room again.
+        self._choose_subset(interval)
+        interval *= len(self.server_subset or active) / max(1, len(active))
+        # With more balancers than servers each would probe for too few tunnels.
+        probe_full_server = self.balancer_count <= len(active) and self._has_queued_tunnels()
+        # A random start: where the credit does not pay for all probes, balancers probe different servers.
+        subset = self.server_subset or active
+        first = int(self.random() * len(subset))
+        for server in subset[first:] + subset[:first]:
+            # Guards against tunnels queued for servers that have long had capacity again.
             age = now - server.reported_at
-            news = age >= self.attempt_timeout and self._unreported_load(server) >= MAX_UNREPORTED_LOAD
-            if waits and server.estimated_load >= self.load_limit and age >= self.attempt_timeout:
-                news, waits = True, False
-            # Guards against paying for reports of servers that may get nothing yet, whatever they tell.
-            gets = server.tunnels or server.process_missing or self._has_slow_start_budget(server, now)
-            if server.ejected_until > now + PLACEMENT_REPORT_DELAY * self.attempt_timeout or not gets:
+            report_outdated = (
+                age >= self.attempt_timeout and self._unreported_load(server) >= MAX_UNREPORTED_LOAD
+            )
+            if probe_full_server and server.estimated_load >= self.load_limit and age >= self.attempt_timeout:
+                report_outdated, probe_full_server = True, False
+            # Guards against paying for reports of servers that may receive nothing yet, whatever they report.
+            may_receive = server.tunnels or server.process_missing or self._has_slow_start_budget(server, now)
+            if server.ejected_until > now + PLACEMENT_REPORT_DELAY * self.attempt_timeout or not may_receive:
                 continue
-            look = server.estimate_due <= now and bool(self.queue)
-            due = look or news or server.probe_due <= now
-            if due and not server.probing and self._can_afford_probe(0 if look else RESERVED_PROBES):
-                # A probe may bring no report, as when the server has none yet: asked again sooner.
-                wait = (
-                    min(every, PLACEMENT_REPORT_DELAY * self.attempt_timeout)
+            estimate_due = server.estimate_due <= now and bool(self.queue)
+            due = estimate_due or report_outdated or server.probe_due <= now
+            if due and not server.probing and self._can_afford_probe(0 if estimate_due else RESERVED_PROBES):
+                # Sooner while there is no report: a server may have none yet.
+                pause = (
+                    min(interval, PLACEMENT_REPORT_DELAY * self.attempt_timeout)
                     if server.reported_busy is None
-                    else every
+                    else interval
                 )
-                server.probe_due = now + wait * self.uniform(0.8, 1.2)
+                server.probe_due = now + pause * self.uniform(0.8, 1.2)
                 self._request_load(server)
         self.next_estimate_due = min(
             (server.estimate_due for server in self.active_servers if server.estimate_due > now), default=inf
         )
 
-    def _choose_subset(self, every: float) -> None:
-        """Where own tunnels can't pay for asking two candidates, nor probes by the clock keep all reports, a
-        balancer takes every n-th of the list from a start of its own: by mark, out of step with zones and
-        kinds; as many balancers share a part as leave no server without one."""
-        n = 1
+    def _choose_subset(self, probe_interval: float) -> None:
+        """Chooses the servers that this balancer uses, a part of all if its tunnels pay for too few probes.
+
+        They do if they pay neither for probes of two candidates nor for periodic probes that keep all reports
+        young. The balancer takes every n-th server in the order of their hashes, out of step with zones and
+        kinds, from an offset of its own. Enough balancers share a subset that no server is left without one.
+        """
+        subset_count = 1
         if self.may_probe and 2 * self.probe_price > PERIODIC_PROBE_SHARE + CANDIDATE_PROBE_SHARE:
-            n = min(
-                int(every / HISTORY_SECONDS),
+            subset_count = min(
+                int(probe_interval / HISTORY_SECONDS),
                 len(self.active_servers) // MIN_SUBSET_SIZE,
                 self.balancer_count // MIN_SUBSET_SIZE,
             )
-        self.server_subset = self.active_servers[int(self.subset_offset * n) :: n] if n > 1 else None
+        self.server_subset = (
+            self.active_servers[int(self.subset_offset * subset_count) :: subset_count]
+            if subset_count > 1
+            else None
+        )
 
     def _has_queued_tunnels(self) -> bool:
+        """Whether a tunnel waits for a ready server."""
         return any(tunnel.state is State.QUEUED for tunnel in self.queue)
 
     def _serve_queue(self, now: float) -> None:
-        none_ready = set[str]()  # for tunnels that may go anywhere, or of that group: they need not all look
+        """Places the queued tunnels; ends the wait for a probe of those that run out of time."""
+        none_ready = set[str]()  # groups without a ready server, "" for all: their other tunnels are skipped
         for tunnel in (
             sorted(self.queue, key=self.queue_priority) if self.queue_priority else list(self.queue)
         ):
             if tunnel.state is State.PROBING and now + 2 * self.timer_interval >= tunnel.deadline:
-                tunnel.transition_to(State.QUEUED)  # no time is left to wait for an answer
-                # Guards rule 4: a cold server's budget may have gone to another tunnel meanwhile.
-                drawn = [
+                tunnel.transition_to(State.QUEUED)  # too late to wait for the probe
+                # Guards rule 4: another tunnel may have used the budget of a cold server meanwhile.
+                candidates = [
                     server
                     for server in tunnel.candidates
                     if server.active and self._has_slow_start_budget(server, now)
                 ]
-                ready = self._select_ready(tunnel, drawn, now)
+                ready = self._select_ready(tunnel, candidates, now)
                 if ready:
                     self._send_setup(tunnel, ready[-1], now)
                 else:
                     self._answer_unopened(tunnel, now)
             elif tunnel.state is State.QUEUED:
                 group = tunnel.group if self.is_fleet_renewing else ""
-                found = group in none_ready or len(none_ready) >= MAX_UNPLACED_GROUPS
-                if not found or tunnel.setups or not self._is_worth_queueing(tunnel, now):
+                skipped = group in none_ready or len(none_ready) >= MAX_UNPLACED_GROUPS
+                if not skipped or tunnel.setups or not self._is_worth_queueing(tunnel, now):
                     self._place(tunnel, now)
                     none_ready.update((group,) if tunnel.state is State.QUEUED else ())
