--- a/tests/filling_world.py
+++ b/tests/filling_world.py
@@ -1,8 +1,8 @@
-"""Balancers with the real decisions before cold servers, on a virtual clock: what each server is sent.
+"""Simulates a fleet of balancers that fill cold servers, with the real decisions on a virtual clock.
 
-All servers are cold at the start. At some balancers tunnels come, at others none; at one moment some come at
-all of them. Words of loans are lost and late by chance. A server takes what it is sent at once; probes tell
-its load 20 ms later.
+All servers are cold at the start. Tunnels arrive at some balancers, and at one moment at all of them.
+Messages about leases of the slow-start budget are lost and delayed at random. A server opens each tunnel
+20 ms after the setup, and a probe reports its load after the same time.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from pointgw.recovery.leases import Leases
 from virtual_clock import VirtualClock
 
-WARM_CAPACITY = 60  # tunnels that a warm server bears
-STEP_SECONDS = 0.05  # seconds
-ANSWER_SECONDS = 0.02  # seconds that a probe, or a setup, takes
+WARM_CAPACITY = 60  # tunnels that a warm server can serve
+STEP_SECONDS = 0.05  # between two timers
+ANSWER_SECONDS = 0.02  # duration of a probe or a setup
 START = 100.0
 
 
 class Host(RecordingHost):
-    """Carries out what one balancer asks."""
+    """Carries out the requests of one balancer."""
 
     def __init__(self, world: World) -> None:
         super().__init__()
@@ -48,15 +48,17 @@
 
 @dataclass
 class World(VirtualClock):
+    """The fleet: its balancers, their leases, and the times at which each server was sent tunnels."""
+
     balancer_count: int
     server_count: int
-    busy_balancers: int  # balancers at which tunnels come from the start
+    busy_balancers: int  # balancers at which tunnels arrive from the start
     arrival_rate: float  # tunnels a second at each of those
     seed: int = 1
     leases_enabled: bool = True
     loss_rate: float = 0.0
     max_delay: float = 0.03  # seconds, at most
-    balancers_indexed: bool = False  # balancers are told their numbers
+    balancers_indexed: bool = False  # whether balancers know their index
     balancers: dict[Host, Balancer] = field(default_factory=dict)
     placements: dict[str, list[float]] = field(default_factory=dict)
     declined: int = 0
@@ -73,31 +75,31 @@
             tunnel_quota=float(WARM_CAPACITY * self.server_count),
             list_is_polled=True,
         )
-        for n in range(self.balancer_count):
-            self._start_balancer(Host(self), n, 0)
+        for index in range(self.balancer_count):
+            self._start_balancer(Host(self), index, 0)
         self.leases = [
             Leases(
-                n,
+                index,
                 self.balancer_count,
                 settings.overload_window,
-                Random(f"{self.seed}/loans/{n}"),
+                Random(f"{self.seed}/loans/{index}"),
                 START - settings.overload_window,
             )
-            for n in range(self.balancer_count)
+            for index in range(self.balancer_count)
         ]
 
-    def _start_balancer(self, host: Host, n: int, time: int) -> None:
-        settings = replace(self.site, balancer_index=n if self.balancers_indexed else -1)
-        rng = Random(f"{self.seed}/{n}" + time * "/again")
+    def _start_balancer(self, host: Host, index: int, restart: int) -> None:
+        settings = replace(self.site, balancer_index=index if self.balancers_indexed else -1)
+        rng = Random(f"{self.seed}/{index}" + restart * "/again")
         self.balancers[host] = balancer = Balancer(settings, host, rng, self.now)
         balancer.update_servers(self.entries, True, False, self.now)
-        balancer.probe_credit = 1e9  # what probes cost is not the matter here
+        balancer.probe_credit = 1e9  # probes are not limited here
 
-    def restart_balancers(self, every: int, time: int) -> None:
-        """So many balancers, one after another in their order, forget all that they sent."""
+    def restart_balancers(self, count: int, restart: int) -> None:
+        """Restarts the next `count` balancers, which forget what they sent; `restart`: calls before this."""
         hosts = list(self.balancers)
-        for n in range(time * every, min((time + 1) * every, self.balancer_count)):
-            self._start_balancer(hosts[n], n, time + 1)
+        for index in range(restart * count, min((restart + 1) * count, self.balancer_count)):
+            self._start_balancer(hosts[index], index, restart + 1)
 
     def answer_probe(self, balancer: Balancer, server: Server, now: float) -> None:
         age = (now - START) / balancer.warm_up_window
@@ -107,47 +109,51 @@
         )
 
     def run(self, seconds: float, all_at: float) -> None:
-        """`all_at`: seconds from the start at which five tunnels come at each balancer at once."""
-        came = False
+        """Runs the fleet; `all_at`: seconds from the start at which five tunnels arrive at each balancer."""
+        has_arrived = False
         for _ in range(round(seconds / STEP_SECONDS)):
             until = self.now + STEP_SECONDS
             self.run_until(until)
-            come = not came and until >= START + all_at
-            came |= come
-            for n, balancer in enumerate(self.balancers.values()):
-                busy = n % (self.balancer_count // self.busy_balancers) == 0  # apart, as they would be
-                many = 5 * come + (busy and self.rng.random() < self.arrival_rate * STEP_SECONDS)
-                for _ in range(many):
+            arrive_now = not has_arrived and until >= START + all_at
+            has_arrived |= arrive_now
+            for index, balancer in enumerate(self.balancers.values()):
+                is_busy = index % (self.balancer_count // self.busy_balancers) == 0  # spread over the indexes
+                arrivals = 5 * arrive_now + (is_busy and self.rng.random() < self.arrival_rate * STEP_SECONDS)
+                for _ in range(arrivals):
                     balancer.tunnel_arrived(
                         balancer.new_tunnel("t", 0, 0, "k", "", until + 3.0, False), False, until
                     )
                 balancer.timer_due(until)
                 if self.leases_enabled:
-                    self._exchange_leases(n, balancer, until)
+                    self._exchange_leases(index, balancer, until)
 
-    def _exchange_leases(self, n: int, balancer: Balancer, now: float) -> None:
-        waits = any(tunnel.state is State.QUEUED for tunnel in balancer.queue) or now < balancer.no_room_until
-        for lender, number in self.leases[n].requests_due(waits, not waits, now):
-            self._deliver(partial(self._receive_request, n, lender, number))
-        self._apply_budget_share(n, balancer, now)
+    def _exchange_leases(self, index: int, balancer: Balancer, now: float) -> None:
+        needs_budget = (
+            any(tunnel.state is State.QUEUED for tunnel in balancer.queue) or now < balancer.no_room_until
+        )
+        for lessor, request_id in self.leases[index].requests_due(needs_budget, not needs_budget, now):
+            self._deliver(partial(self._receive_request, index, lessor, request_id))
+        self._apply_budget_share(index, balancer, now)
 
-    def _deliver(self, word: Callable[[float], object]) -> None:
+    def _deliver(self, message: Callable[[float], object]) -> None:
         if self.rng.random() >= self.loss_rate:
-            self.later(self.rng.uniform(0.0, self.max_delay), word)
+            self.later(self.rng.uniform(0.0, self.max_delay), message)
 
-    def _receive_request(self, borrower: int, lender: int, number: int, now: float) -> None:
-        if self.leases[lender].receive_request(borrower, now):
-            self._apply_budget_share(lender, list(self.balancers.values())[lender], now)
-            self._deliver(partial(self.leases[borrower].receive_grant, lender, number))
+    def _receive_request(self, lessee: int, lessor: int, request_id: int, now: float) -> None:
+        if self.leases[lessor].receive_request(lessee, now):
+            self._apply_budget_share(lessor, list(self.balancers.values())[lessor], now)
+            self._deliver(partial(self.leases[lessee].receive_grant, lessor, request_id))
 
-    def _apply_budget_share(self, n: int, balancer: Balancer, now: float) -> None:
-        part = self.leases[n].budget_share(now)
-        if part != balancer.budget_share:
-            balancer.set_budget_share(part, now)
+    def _apply_budget_share(self, index: int, balancer: Balancer, now: float) -> None:
+        share = self.leases[index].budget_share(now)
+        if share != balancer.budget_share:
+            balancer.set_budget_share(share, now)
 
     def max_overload_ratio(self) -> float:
-        """The most that a server was sent within a tip span, of what it could take then with two standard
-        deviations of chance."""
+        """The most tunnels sent to a server within an overload window, over its limit with chance.
+
+        The limit is that in the middle of the window; chance adds two standard deviations.
+        """
         settings = make_site()
         worst = 0.0
         for times in self.placements.values():
@@ -166,7 +172,10 @@
         return worst
 
     def max_overload_excess(self) -> float:
-        """The most by which what a server was sent within a tip span is over N + 2 root N + 2."""
+        """The most by which the tunnels sent to a server within an overload window exceed N + 2 sqrt(N) + 2.
+
+        N: its limit at the start of the window.
+        """
         settings, worst = self.site, -inf
         for times in self.placements.values():
             for i, at in enumerate(times):
@@ -175,7 +184,7 @@
                     settings.slow_start_share
                     + (1 - settings.slow_start_share) * age / settings.warm_up_window
                 )
-                may = (
+                limit = (
                     settings.overload_factor
                     * WARM_CAPACITY
                     / settings.warm_up_window
@@ -183,12 +192,13 @@
                     * settings.overload_window
                 )
                 worst = max(
-                    worst, i + 1 - bisect_left(times, at - settings.overload_window) - may - 2 * may**0.5 - 2
+                    worst,
+                    i + 1 - bisect_left(times, at - settings.overload_window) - limit - 2 * limit**0.5 - 2,
                 )
         return worst
 
     def total_budget(self) -> float:
-        """What all balancers may send until now, with what is kept back for chance."""
+        """The tunnels that all balancers may have sent until now, by the budget with its safety factor."""
         settings, age = self.site, self.now - START
         share = (
             settings.slow_start_share + (1 - settings.slow_start_share) * age / 2 / settings.warm_up_window
@@ -204,4 +214,5 @@
         )
 
     def count_placements(self) -> int:
+        """The setups that were sent to all servers."""
         return sum(map(len, self.placements.values()))
--- a/tests/gathering_world.py
+++ b/tests/gathering_world.py
@@ -1,9 +1,9 @@
-"""A fleet under a rolling release, with the real decisions on a virtual clock: groups of tunnels, each of
-which costs a server once, however many of it that holds.
+"""Simulates a fleet under a rolling release, with the real decisions on a virtual clock.
 
-A server that is replaced sends its clients away at once; they come again at a balancer by chance within
-seconds, and after a decline a little later. A server takes a setup at once; probes tell its load 20 ms later:
-what its tunnels and groups cost over what it can do by its age.
+Tunnels belong to groups, and a server pays for each of its groups once. A server that is replaced sends its
+clients away at once; they return at a random balancer within seconds, as declined clients do. A server opens
+a tunnel 20 ms after the setup; probes report, after the same time, the cost of its tunnels and groups over
+its capacity at its age.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from pointgw.policy import Balancer, Server, Tunnel
 from virtual_clock import VirtualClock
 
-STEP_SECONDS = 0.1  # seconds between two ticks
-ANSWER_SECONDS = 0.02  # seconds that a probe, or a setup, takes
-RETRY_SECONDS = 0.4  # seconds after which a client that was sent away comes again, about
-WARM_CAPACITY = 40.0  # what a warm server can do, in tunnels
-GROUP_COST = 3.0  # what a group costs there
+STEP_SECONDS = 0.1  # between two timers
+ANSWER_SECONDS = 0.02  # duration of a probe or a setup
+RETRY_SECONDS = 0.4  # mean time after which a client that was sent away returns
+WARM_CAPACITY = 40.0  # of a warm server, in tunnels
+GROUP_COST = 3.0  # of one group at a server, in tunnels
 SLOW_START_SHARE, WARM_UP_WINDOW, OVERLOAD_WINDOW, OVERLOAD_FACTOR = 0.4, 6.0, 1.0, 4.0
 START = 100.0
 
 
 class Host(RecordingHost):
-    """Carries out what one balancer asks."""
+    """Carries out the requests of one balancer."""
 
     def __init__(self, world: World) -> None:
         super().__init__()
@@ -53,23 +53,27 @@
 
 @dataclass
 class World(VirtualClock):
+    """The fleet: its balancers, its servers with their groups, and where each open tunnel is."""
+
     balancer_count: int
     server_count: int
     group_count: int
     tunnel_count: int
     seed: int = 1
-    report_field: str = "load"  # what probes tell: that, or the connections
+    report_field: str = "load"  # the field that probes report: "load" or "connections"
     now: float = START
     declined: int = 0
-    server_of: dict[Tunnel, str] = field(default_factory=dict)  # where each open tunnel is
+    server_of: dict[Tunnel, str] = field(default_factory=dict)  # the server of each open tunnel
     host_of: dict[Tunnel, Host] = field(default_factory=dict)
-    groups_by_server: dict[str, Counter[str]] = field(default_factory=dict)  # by server: its groups
+    groups_by_server: dict[str, Counter[str]] = field(
+        default_factory=dict
+    )  # tunnels of each group at a server
     started_at: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.rng = Random(self.seed)
         self.start_clock()
-        lines = [self.add_server(f"s{i}", 0.0) for i in range(self.server_count)]
+        entries = [self.add_server(f"s{i}", 0.0) for i in range(self.server_count)]
         settings = {
             "list_is_polled": True, "slow_start_share": SLOW_START_SHARE, "warm_up_window": WARM_UP_WINDOW,
             "overload_factor": OVERLOAD_FACTOR, "overload_window": OVERLOAD_WINDOW,
@@ -82,15 +86,15 @@
             self.balancers[host] = balancer = Balancer(
                 make_site(**settings, balancer_index=n), host, Random(f"{self.seed}/{n}"), START
             )
-            balancer.update_servers(lines, True, False, START)
-            balancer.probe_credit = 1e9  # what probes cost is not the matter here
+            balancer.update_servers(entries, True, False, START)
+            balancer.probe_credit = 1e9  # probes are not limited here
 
-    def add_server(self, name: str, started: float) -> ServerEntry:
-        self.groups_by_server[name], self.started_at[name] = Counter(), started
-        return ServerEntry(name, "active", 0, 0, 0, started, 1.0)
+    def add_server(self, name: str, started_at: float) -> ServerEntry:
+        self.groups_by_server[name], self.started_at[name] = Counter(), started_at
+        return ServerEntry(name, "active", 0, 0, 0, started_at, 1.0)
 
-    def schedule_arrival(self, group: str, wait: float = RETRY_SECONDS) -> None:
-        self.later(wait * self.rng.uniform(0.5, 1.5), partial(self.arrive, group))
+    def schedule_arrival(self, group: str, delay: float = RETRY_SECONDS) -> None:
+        self.later(delay * self.rng.uniform(0.5, 1.5), partial(self.arrive, group))
 
     def arrive(self, group: str, now: float) -> None:
         host = self.rng.choice(list(self.balancers))
@@ -111,6 +115,7 @@
         self.groups_by_server[name] += Counter()
 
     def load(self, name: str) -> float:
+        """The cost of a server's tunnels and groups over its capacity at its age."""
         groups = self.groups_by_server[name]
         age = (self.now - self.started_at[name]) / WARM_UP_WINDOW
         share = min(1.0, SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * age)
@@ -128,23 +133,26 @@
         else:
             self.balancers[host].probe_ended(server, "no-connection", {}, now)
 
-    def replace_servers(self, count: int, time: int) -> None:
-        """So many servers of the first ones drain: their tunnels come again. As many new ones start."""
-        for i in range(time * count, (time + 1) * count):
-            old, new = f"s{i}", f"n{i}"
-            lines = [ServerEntry(old, "leaving", 0, 0, 0, 0.0, 1.0), self.add_server(new, self.now)]
+    def replace_servers(self, count: int, step: int) -> None:
+        """Drains the next `count` of the first servers, whose clients return, and starts as many new ones."""
+        for i in range(step * count, (step + 1) * count):
+            drained, started_server = f"s{i}", f"n{i}"
+            entries = [
+                ServerEntry(drained, "leaving", 0, 0, 0, 0.0, 1.0),
+                self.add_server(started_server, self.now),
+            ]
             for balancer in self.balancers.values():
-                balancer.update_servers(lines, False, False, self.now)
-            for tunnel in [tunnel for tunnel, name in self.server_of.items() if name == old]:
+                balancer.update_servers(entries, False, False, self.now)
+            for tunnel in [tunnel for tunnel, name in self.server_of.items() if name == drained]:
                 self.end_tunnel(tunnel)
                 self.balancers[self.host_of[tunnel]].setup_ended(
                     tunnel, len(tunnel.setups) - 1, "cancelled", True, {}, self.now
                 )
                 self.schedule_arrival(tunnel.group, 2 * RETRY_SECONDS)
-            del self.groups_by_server[old]
+            del self.groups_by_server[drained]
 
     def schedule_arrivals(self, seconds: float) -> None:
-        """The tunnels come over these, group by group as they are large: the n-th has 1/n of the first."""
+        """Schedules all tunnels over this time; the n-th group has 1/n of the first one's."""
         groups = [f"g{n}" for n in range(self.group_count)]
         weights = [1.0 / (n + 1) for n in range(self.group_count)]
         for group in self.rng.choices(groups, weights, k=self.tunnel_count):
@@ -158,7 +166,7 @@
                 balancer.timer_due(until)
 
     def count_group_placements(self) -> int:
-        """Groups that servers pay for."""
+        """The number of groups at each server, summed over the servers."""
         return sum(map(len, self.groups_by_server.values()))
 
     def max_load(self) -> float:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A host that writes down what was asked of it, and ready-made state."""
+"""A host that records what the decision module requests, and functions that make state for tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RecordingHost:
-    """A `Host` whose actions can be read afterwards."""
+    """A `Host` that records the requested actions and carries out none."""
 
     def __init__(self) -> None:
         self.requests: list[tuple[Any, ...]] = []
@@ -42,10 +42,12 @@
         pass
 
     def request_names(self) -> list[str]:
-        return [asked[0] for asked in self.requests]
+        """The names of the recorded actions, in order."""
+        return [request[0] for request in self.requests]
 
 
 def make_site(**changes: Any) -> Site:
+    """Settings of one of two balancers, with changes."""
     figures: dict[str, Any] = {
         "balancer_count": 2, "zone": 0, "profiles": (REPEATABLE,), "list_is_polled": False,
         "list_poll_interval": 10.0, "report_fields": ("load",), "max_setups": 4, "may_probe": True,
@@ -57,7 +59,7 @@
 
 
 def make_balancer(loads: list[float | None], **changes: Any) -> tuple[Balancer, RecordingHost, list[Server]]:
-    """A balancer at time 100 with a server for each busy figure; None: unheard."""
+    """A balancer at time 100 with a server for each busy figure; None: no report."""
     host = RecordingHost()
     balancer = Balancer(make_site(**changes), host, Random(1), 100.0)
     entries = [ServerEntry(f"s{i}", "active", 0, i, i % 2, 0.0, 1.0) for i in range(len(loads))]
@@ -72,10 +74,11 @@
 
 
 def make_tunnel(balancer: Balancer, remaining: float = 3.0, tenant: int = 0, group: str = "") -> Tunnel:
+    """A tunnel at time 100 that has not arrived yet; `remaining`: seconds to its client's timeout."""
     return balancer.new_tunnel("t", 0, tenant, "k", group, 100.0 + remaining, False)
 
 
 def make_cold(balancer: Balancer, server: Server, started_at: float, budget: float) -> None:
-    """A server that started lately, with what is left at time 100 of the balancer's budget for it."""
+    """Makes a server cold, with the slow-start budget that the balancer has for it at time 100."""
     server.started_at, server.warm_at = started_at, started_at + balancer.warm_up_window
     server.slow_start_budget, server.budget_updated_at = budget, 100.0
