--- a/tests/gathering_world.py
+++ b/tests/gathering_world.py
@@ -23,7 +23,10 @@
 RETRY_SECONDS = 0.4  # mean time after which a client that was sent away returns
 WARM_CAPACITY = 40.0  # of a warm server, in tunnels
 GROUP_COST = 3.0  # of one group at a server, in tunnels
-SLOW_START_SHARE, WARM_UP_WINDOW, OVERLOAD_WINDOW, OVERLOAD_FACTOR = 0.4, 6.0, 1.0, 4.0
+SLOW_START_SHARE = 0.4
+WARM_UP_WINDOW = 6.0  # seconds
+OVERLOAD_WINDOW = 1.0  # seconds
+OVERLOAD_FACTOR = 4.0
 START = 100.0
 
 
