--- a/pointgw/policy.py
+++ b/pointgw/policy.py
@@ -11,18 +11,27 @@
 
 How a tunnel is placed:
 
-- `_select_candidates` keeps the servers that are eligible by rule 2 and ready: not ejected after failures,
-  with an estimated load under the limit and, while cold, with slow-start budget left (rule 4).
-- `_draw_candidates` draws two of them. Tunnels of a group go to servers that hold the group already or are
-  preferred by it (affinity), as a server pays for a group once.
+- `_select_candidates` keeps the servers that are eligible by rule 2 and ready: not ejected, with an estimated
+  load under the limit and, while cold, with slow-start budget left.
+- `_draw_candidates` draws two of them.
 - `_offer` makes the SRLB offer: the first candidate accepts if its busy figure is under the threshold c,
   else the second one must take the tunnel. A candidate with an outdated report is probed first.
 - `_adapt_threshold` moves c so that about half of the first offers are accepted (SR_dyn).
 - A tunnel without a ready server is queued, and declined or closed with error before its deadline (rule 1).
 
-What runs beside this: a control pass once per attempt timeout updates the estimates of load and sends
-periodic probes, which are paid from the probe credit that own tunnels earn; a report of overload makes
-`_migrate_excess` move open tunnels off the server.
+What decides beside this:
+
+- Load estimates (`_update_load_estimate`): the reported load, and what all balancers may have added since.
+- Slow start (`_has_slow_start_budget`): rule 4 limits the rate at which all balancers together fill a server
+  that has started lately; each has its share of this as a budget of tunnels.
+- Ejection (`_record_failure`): a server that fails is not ready for a time that grows with each failure.
+  `_record_return` decides whether one that answers again has restarted and is cold.
+- Affinity (`_preferred_servers`, `_group_load_limit`): a server pays for a group once, so the tunnels of a
+  group go to servers that hold it, or to the first ones in the group's own order.
+- Migration (`_migrate_excess`): open tunnels are moved off a server that reports overload.
+- Probe credit (`_earn_probe_credit`): probes cost credit, which own tunnels earn. Where they earn too little,
+  the balancer uses a subset of the servers (`_choose_subset`).
+- The control pass (`_run_control_pass`), once per attempt timeout, updates estimates and sends due probes.
 """
 
 from __future__ import annotations
@@ -85,7 +94,7 @@
 UNSTABLE_PAUSE_FACTOR = 1.5  # pause before an unstable server is ready again, in its longest uptimes
 RESTART_LOAD_RATIO = 0.5  # share of its former figure below which a server that returns counts as restarted
 MIN_BROKEN_TUNNELS = 2  # own tunnels broken by a server at one moment that suggest a restart
-# Servers without a process from which more may be lost; where no list told of them since, power was lost.
+# Servers without a process from which on more may be lost; power was lost if no list has confirmed them.
 MIN_PROCESS_LOSSES = 2
 QUICK_MESSAGE_DELAY = 0.1  # attempt timeouts; message delay that shows a server has caught up
 SLOW_MESSAGE_DELAY = 0.5  # attempt timeouts; message delay that shows a server piles up work
@@ -198,7 +207,7 @@
         self.process_missing, self.previous_warm_at = False, 0.0
         # Own tunnels that it broke at one moment; when; when it last refused a connection.
         self.broken_tunnels, self.broken_at, self.refused_at = 0, -inf, -inf
-        self.unconfirmed = False  # no list has told of its process since this balancer started
+        self.unconfirmed = False  # no list has confirmed its process since this balancer started
         # When it last returned without a process missing; its longest uptime between recent failures.
         self.recovered_at, self.longest_uptime = -inf, 0.0
         self.unstable_until = 0.0  # not ready before this time, as it failed repeatedly
@@ -219,8 +228,8 @@
         # Random estimate of the load that other balancers add; the estimate by which it is ready.
         self.assumed_peer_load, self.estimated_load = 0.0, -inf
         self.warm_at = 0.0  # latest time at which a recently started process has its full capacity
-        self.start_inferred = False  # its start was inferred; no list told it
-        self.start_listed = False  # the list told its start
+        self.start_inferred = False  # its start was inferred; no list stated it
+        self.start_listed = False  # the list stated its start
         self.is_staggered = False  # the listed start and the balancer's index set when a first tunnel is due
         self.budget_initialised = False  # the slow-start budget was computed since the start
         self.recent_failures, self.ejected_until = 0, 0.0  # recent failures; not ready before this time
@@ -396,7 +405,7 @@
     ) -> None:
         """Records a process that started at `started_at`, cold unless that is 0 (long ago).
 
-        `by_list`: the list told the start, so all balancers have the same.
+        `by_list`: the list stated the start, so all balancers have the same.
         """
         server.reset()
         server.unconfirmed, server.warm_at = False, started_at + self.warm_up_window if started_at else 0.0
@@ -509,8 +518,8 @@
 
         It is the reported load and what all balancers are likely to have added since. Guards against
         balancers that fill a server between two reports, and against overload, in which a server drops
-        tunnels that come back at once. Tunnels that ended or migrated free nothing before a report shows it:
-        their group may remain and the server be as full as before.
+        tunnels whose clients return at once. Tunnels that ended or migrated free nothing before a report
+        shows it: their group may remain and the server be as full as before.
         """
         load = self.mean_load if server.reported_busy is None else server.reported_load
         if server.reported_busy is None and server.start_listed and server.warm_at > self.last_pass_at:
@@ -1099,7 +1108,7 @@
             and now < tunnel.deadline
         )
         setup.may_have_run = is_current and self._is_eligible(tunnel, setup.server, now)
-        # Guards rule 4: the list may have told a restart meanwhile, and the new process has its own budget.
+        # Guards rule 4: a restart may have been listed meanwhile, and the new process has its own budget.
         if setup.may_have_run and setup.server.started_at != setup.server_started_at:
             setup.may_have_run = self._has_slow_start_budget(setup.server, now)
             setup.server.slow_start_budget -= setup.may_have_run and setup.server.warm_at > now
@@ -1246,7 +1255,8 @@
             self.process_losses[server.cell].extend(() if server.process_missing else (now,))
             server.refused_at = now
             self._mark_process_missing(server, now)
-            # Several servers of an old list, never heard: all may have lost power, so none counts as warm.
+            # Several servers of an old list, without any report: all may have lost power, so none counts as
+            # warm.
             unconfirmed = [other for other in self.active_servers if other.unconfirmed]
             power_lost = (
                 sum(other.process_missing and other.reported_at < 0.0 for other in unconfirmed)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -638,7 +638,7 @@
     load: float, pause: float, has_tunnel: bool, cold: bool
 ) -> None:
     # Guards rule 4 where the list is late or silent: two cold servers were overloaded whose restart no list
-    # had told.
+    # had shown.
     balancer, _, (server, _) = make_balancer([0.5, 0.5])
     balancer.mean_busy, now = 0.5, 100.0 + pause
     if has_tunnel:
