--- a/pointgw/fault_proxy/proxy.py
+++ b/pointgw/fault_proxy/proxy.py
@@ -16,33 +16,33 @@
 from pointgw.fault_proxy.script import Script
 from pointgw.net.run import tcp
 
-FULL = 64 * 1024  # bytes that wait in one direction after which its sender is not read
-SLICE = 0.05  # seconds of a limited rate that are written at a time
-LONGEST_NAME = 4096  # bytes of a first line by which a connection is known
-TRACED = 1_000_000  # lines of trace that are kept
+MAX_BUFFERED_BYTES = 64 * 1024  # bytes that wait in one direction after which its sender is not read
+RATE_SLICE_SECONDS = 0.05  # seconds of a limited rate that are written at a time
+MAX_FIRST_LINE_BYTES = 4096  # bytes of a first line by which a connection is known
+MAX_TRACE_LINES = 1_000_000  # lines of trace that are kept
 
 Address = tuple[str, int]
 
 
-class Link(Enum):
+class ConnectionState(Enum):
     """Where a connection through the box stands."""
 
-    NAMING = "naming"  # its first line has not come yet
-    OPENING = "opening"  # the far side is being reached
-    PASSING = "passing"
-    ENDED = "ended"
+    READING_FIRST_LINE = "naming"  # its first line has not come yet
+    CONNECTING = "opening"  # the far side is being reached
+    FORWARDING = "passing"
+    CLOSED = "ended"
 
 
-NEXT = {
-    Link.NAMING: (Link.OPENING, Link.ENDED),
-    Link.OPENING: (Link.PASSING, Link.ENDED),
-    Link.PASSING: (Link.ENDED,),
-    Link.ENDED: (),
+TRANSITIONS = {
+    ConnectionState.READING_FIRST_LINE: (ConnectionState.CONNECTING, ConnectionState.CLOSED),
+    ConnectionState.CONNECTING: (ConnectionState.FORWARDING, ConnectionState.CLOSED),
+    ConnectionState.FORWARDING: (ConnectionState.CLOSED,),
+    ConnectionState.CLOSED: (),
 }
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedChunk:
     """One piece on its way; no bytes: the direction's end, or a cut."""
 
     due: float
@@ -53,117 +53,119 @@
 class Endpoint(asyncio.Protocol):
     """One of the two sockets of a connection."""
 
-    __slots__ = ("link", "out", "transport")
+    __slots__ = ("connection", "out", "transport")
 
-    def __init__(self, link: Connection) -> None:
-        self.link = link
+    def __init__(self, connection: Connection) -> None:
+        self.connection = connection
         self.transport: asyncio.Transport | None = None
         self.out: Flow | None = None  # what comes in here goes there
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(FULL)
-        self.link.made(self)
+        self.transport.set_write_buffer_limits(MAX_BUFFERED_BYTES)
+        self.connection.connected(self)
 
     def data_received(self, data: bytes) -> None:
-        self.link.received(self, data)
+        self.connection.received(self, data)
 
     def eof_received(self) -> bool:
-        self.link.finished(self)
+        self.connection.end_of_input(self)
         return True  # the other direction may go on
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.link.lost(exc is not None)
+        self.connection.endpoint_lost(exc is not None)
 
     def pause_writing(self) -> None:
-        self.link.direction_into(self).blocked = True
+        self.connection.direction_into(self).blocked = True
 
     def resume_writing(self) -> None:
-        flow = self.link.direction_into(self)
+        flow = self.connection.direction_into(self)
         flow.blocked = False
-        flow.pump()
+        flow.write_due()
 
 
 class Flow:
     """One direction: what has come and waits to go on."""
 
     __slots__ = (
-        "blocked", "done", "link", "pending", "queue", "ready", "schedule", "source", "stalled", "target",
-        "timer", "wake",
+        "blocked", "connection", "is_finished", "next_due", "queue", "queued_bytes", "schedule",
+        "schedule_timer", "source", "stalled", "target", "write_timer",
     )  # fmt: skip
 
-    def __init__(self, link: Connection, source: Endpoint, target: Endpoint) -> None:
-        self.link, self.source, self.target = link, source, target
+    def __init__(self, connection: Connection, source: Endpoint, target: Endpoint) -> None:
+        self.connection, self.source, self.target = connection, source, target
         self.schedule: Schedule | None = None
-        self.queue: deque[Waiting] = deque()
-        self.pending = 0  # bytes in the queue
-        self.ready = 0.0  # when the latest piece may go: none overtakes another
-        self.blocked = self.stalled = self.done = False
-        self.timer: asyncio.TimerHandle | None = None
-        self.wake: asyncio.TimerHandle | None = None
+        self.queue: deque[QueuedChunk] = deque()
+        self.queued_bytes = 0  # bytes in the queue
+        self.next_due = 0.0  # when the latest piece may go: none overtakes another
+        self.blocked = self.stalled = self.is_finished = False
+        self.write_timer: asyncio.TimerHandle | None = None
+        self.schedule_timer: asyncio.TimerHandle | None = None
 
     def begin(self, schedule: Schedule) -> None:
         self.schedule = schedule
-        self.take(schedule.at(self.link.age()))
+        self.apply_steps(schedule.advance(self.connection.age()))
 
-    def by_the_clock(self) -> None:
+    def schedule_due(self) -> None:
         assert self.schedule is not None
-        if self.link.state is not Link.ENDED and not self.schedule.over:
-            self.take(self.schedule.at(self.link.age()))
+        if self.connection.state is not ConnectionState.CLOSED and not self.schedule.is_finished:
+            self.apply_steps(self.schedule.advance(self.connection.age()))
 
-    def take(self, steps: list[Step]) -> None:
-        now = self.link.loop.time()
+    def apply_steps(self, steps: list[Step]) -> None:
+        now = self.connection.loop.time()
         for step in steps:
             if isinstance(step, Forward):
-                self._queue(step, now)
+                self._enqueue(step, now)
             elif isinstance(step, Stall):
                 self.stalled = self.stalled or not step.seconds
-                self.ready = max(self.ready, now + step.seconds)
+                self.next_due = max(self.next_due, now + step.seconds)
             else:
-                self.queue.append(Waiting(max(self.ready, now), b"", step))
-        if self.schedule is not None and not self.schedule.over:
-            due = self.schedule.due()
-            if self.wake is not None:
-                self.wake.cancel()
+                self.queue.append(QueuedChunk(max(self.next_due, now), b"", step))
+        if self.schedule is not None and not self.schedule.is_finished:
+            due = self.schedule.next_time()
+            if self.schedule_timer is not None:
+                self.schedule_timer.cancel()
             if due is not None:
-                wait = max(0.0, due - self.link.age()) + 0.001
-                self.wake = self.link.loop.call_later(wait, self.by_the_clock)
-        self.pump()
+                wait = max(0.0, due - self.connection.age()) + 0.001
+                self.schedule_timer = self.connection.loop.call_later(wait, self.schedule_due)
+        self.write_due()
 
-    def _queue(self, step: Forward, now: float) -> None:
-        self.ready = max(self.ready, now + step.delay)
-        size = len(step.data) if step.rate is None else max(1, int(step.rate * SLICE))
+    def _enqueue(self, step: Forward, now: float) -> None:
+        self.next_due = max(self.next_due, now + step.delay)
+        size = len(step.data) if step.rate is None else max(1, int(step.rate * RATE_SLICE_SECONDS))
         for at in range(0, len(step.data), size):
             piece = step.data[at : at + size]
             if step.rate is not None:
-                self.ready += len(piece) / step.rate
-            self.queue.append(Waiting(self.ready, piece))
-        self.pending += len(step.data)
-        if self.pending > FULL:
+                self.next_due += len(piece) / step.rate
+            self.queue.append(QueuedChunk(self.next_due, piece))
+        self.queued_bytes += len(step.data)
+        if self.queued_bytes > MAX_BUFFERED_BYTES:
             tcp.pause_reading(self.source.transport)
 
-    def pump(self) -> None:
+    def write_due(self) -> None:
         """Writes what is due."""
         transport = self.target.transport
-        if transport is None or self.stalled or self.link.state is not Link.PASSING:
+        if transport is None or self.stalled or self.connection.state is not ConnectionState.FORWARDING:
             return
-        now = self.link.loop.time()
+        now = self.connection.loop.time()
         while self.queue and not self.blocked and self.queue[0].due <= now + 1e-4:
             piece = self.queue.popleft()
             if piece.end is not None:
-                self.link.end(self, piece.end)
+                self.connection.finish_flow(self, piece.end)
                 return
-            self.pending -= len(piece.data)
+            self.queued_bytes -= len(piece.data)
             transport.write(piece.data)
-        if self.pending <= FULL and not self.done:
+        if self.queued_bytes <= MAX_BUFFERED_BYTES and not self.is_finished:
             tcp.resume_reading(self.source.transport)
         if self.queue and not self.blocked:
-            if self.timer is not None:
-                self.timer.cancel()
-            self.timer = self.link.loop.call_later(max(0.0, self.queue[0].due - now), self.pump)
-
-    def stop(self) -> None:
-        for timer in (self.timer, self.wake):
+            if self.write_timer is not None:
+                self.write_timer.cancel()
+            self.write_timer = self.connection.loop.call_later(
+                max(0.0, self.queue[0].due - now), self.write_due
+            )
+
+    def cancel_timers(self) -> None:
+        for timer in (self.write_timer, self.schedule_timer):
             if timer is not None:
                 timer.cancel()
 
@@ -171,134 +173,138 @@
 class Connection:
     """One connection through the box: two sockets and two directions."""
 
-    def __init__(self, box: FaultProxy, number: int) -> None:
-        self.box, self.number, self.loop = box, number, box.loop
-        self.began = self.loop.time()
+    def __init__(self, proxy: FaultProxy, number: int) -> None:
+        self.proxy, self.number, self.loop = proxy, number, proxy.loop
+        self.started_at = self.loop.time()
         self.name = ""
-        self.first = bytearray()  # what came while it had no name
-        self.first_ended = False
-        self.near, self.far = Endpoint(self), Endpoint(self)
-        self.up, self.down = Flow(self, self.near, self.far), Flow(self, self.far, self.near)
-        self.state = Link.NAMING
-        self.task: asyncio.Task[None] | None = None
-
-    def to(self, state: Link) -> None:
+        self.first_bytes = bytearray()  # what came while it had no name
+        self.first_bytes_ended = False
+        self.client, self.target = Endpoint(self), Endpoint(self)
+        self.up, self.down = Flow(self, self.client, self.target), Flow(self, self.target, self.client)
+        self.state = ConnectionState.READING_FIRST_LINE
+        self.connect_task: asyncio.Task[None] | None = None
+
+    def change_state(self, state: ConnectionState) -> None:
         """The one place where a connection changes state."""
-        if state not in NEXT[self.state]:
+        if state not in TRANSITIONS[self.state]:
             raise ValueError(f"{self.state.value} cannot become {state.value}")
         self.state = state
 
     def age(self) -> float:
-        return self.loop.time() - self.began
+        return self.loop.time() - self.started_at
 
     def direction_into(self, end: Endpoint) -> Flow:
         """The direction that is written to a socket."""
-        return self.down if end is self.near else self.up
-
-    def made(self, end: Endpoint) -> None:
-        if end is self.near:
-            self.box.connections[self] = None
-            if self.box.script.known_by == "order":
-                self._named(str(self.number))
-        elif self.state is Link.ENDED and end.transport is not None:
+        return self.down if end is self.client else self.up
+
+    def connected(self, end: Endpoint) -> None:
+        if end is self.client:
+            self.proxy.connections[self] = None
+            if self.proxy.script.known_by == "order":
+                self._identify(str(self.number))
+        elif self.state is ConnectionState.CLOSED and end.transport is not None:
             end.transport.abort()
         else:
-            self.to(Link.PASSING)
-            self.up.pump()
+            self.change_state(ConnectionState.FORWARDING)
+            self.up.write_due()
 
     def received(self, end: Endpoint, data: bytes) -> None:
-        if self.state is Link.ENDED:
+        if self.state is ConnectionState.CLOSED:
             return
-        flow = self.up if end is self.near else self.down
+        flow = self.up if end is self.client else self.down
         if flow.schedule is None:
-            self.first += data
-            if b"\n" in self.first or len(self.first) > LONGEST_NAME:
-                self._named(self.box.name_of(bytes(self.first)))
-        elif not flow.schedule.over:
-            flow.take(flow.schedule.feed(data, self.age()))
-
-    def finished(self, end: Endpoint) -> None:
-        if self.state is Link.ENDED:
+            self.first_bytes += data
+            if b"\n" in self.first_bytes or len(self.first_bytes) > MAX_FIRST_LINE_BYTES:
+                self._identify(self.proxy.name_from_first_line(bytes(self.first_bytes)))
+        elif not flow.schedule.is_finished:
+            flow.apply_steps(flow.schedule.feed(data, self.age()))
+
+    def end_of_input(self, end: Endpoint) -> None:
+        if self.state is ConnectionState.CLOSED:
             return
-        flow = self.up if end is self.near else self.down
+        flow = self.up if end is self.client else self.down
         if flow.schedule is None:
-            self._named(self.box.name_of(bytes(self.first)))
+            self._identify(self.proxy.name_from_first_line(bytes(self.first_bytes)))
         if flow.schedule is not None:
-            flow.take(flow.schedule.finish())
+            flow.apply_steps(flow.schedule.finish())
 
-    def _named(self, name: str) -> None:
+    def _identify(self, name: str) -> None:
         self.name = name
-        script, seed = self.box.script, self.box.seed
+        script, seed = self.proxy.script, self.proxy.seed
         number = self.number if script.known_by == "order" else None
         rules = select_rules(script, seed, name, number)
-        refusing = next((i for i in rules if script.rule[i].act == "refuse"), None)
-        if refusing is not None:
-            self.box.traced(name, [f"{name} up rule={refusing} refuse byte=0 line=0"])
-            self._stop(True)
+        refusing_rule = next((i for i in rules if script.rule[i].act == "refuse"), None)
+        if refusing_rule is not None:
+            self.proxy.add_trace(name, [f"{name} up rule={refusing_rule} refuse byte=0 line=0"])
+            self._close(True)
             return
-        self.to(Link.OPENING)
-        self.task = self.loop.create_task(self._open())
+        self.change_state(ConnectionState.CONNECTING)
+        self.connect_task = self.loop.create_task(self._connect())
         for flow, way in ((self.up, "up"), (self.down, "down")):
-            if self.state is not Link.ENDED:
+            if self.state is not ConnectionState.CLOSED:
                 flow.begin(Schedule(script, rules, seed, name, way))
-        if self.first:
-            first, self.first = bytes(self.first), bytearray()
-            self.received(self.near, first)
+        if self.first_bytes:
+            first_bytes, self.first_bytes = bytes(self.first_bytes), bytearray()
+            self.received(self.client, first_bytes)
 
-    def turn(self) -> None:
+    def replace_script(self) -> None:
         """The box has other rules: both directions begin anew by them."""
-        rules = select_rules(self.box.script, self.box.seed, self.name, self.number)
-        self.began = self.loop.time()
+        rules = select_rules(self.proxy.script, self.proxy.seed, self.name, self.number)
+        self.started_at = self.loop.time()
         for flow, way in ((self.up, "up"), (self.down, "down")):
-            if flow.schedule is not None and not flow.schedule.over and self.state is not Link.ENDED:
-                self.box.traced(self.name, [choice.text(self.name) for choice in flow.schedule.trace])
-                flow.take(flow.schedule.release())
-                flow.stalled, flow.ready = False, self.loop.time()
-                flow.begin(Schedule(self.box.script, rules, self.box.seed, self.name, way))
-
-    async def _open(self) -> None:
+            if (
+                flow.schedule is not None
+                and not flow.schedule.is_finished
+                and self.state is not ConnectionState.CLOSED
+            ):
+                self.proxy.add_trace(self.name, [choice.text(self.name) for choice in flow.schedule.trace])
+                flow.apply_steps(flow.schedule.release())
+                flow.stalled, flow.next_due = False, self.loop.time()
+                flow.begin(Schedule(self.proxy.script, rules, self.proxy.seed, self.name, way))
+
+    async def _connect(self) -> None:
         try:
-            await self.loop.create_connection(lambda: self.far, *self.box.target)
+            await self.loop.create_connection(lambda: self.target, *self.proxy.target)
         except OSError:
-            self._stop(True)
+            self._close(True)
 
-    def end(self, flow: Flow, how: HalfClose | Close) -> None:
+    def finish_flow(self, flow: Flow, how: HalfClose | Close) -> None:
         """A direction has passed its last byte."""
         if isinstance(how, Close):
-            self._stop(how.reset)
+            self._close(how.reset)
             return
-        flow.done = True
+        flow.is_finished = True
         transport = flow.target.transport
         if transport is not None and not transport.is_closing():
             transport.write_eof()
         if flow.source.transport is not None:
             tcp.resume_reading(flow.source.transport)  # what still comes is read and dropped
-        if self.up.done and self.down.done:
-            self._stop(False)
+        if self.up.is_finished and self.down.is_finished:
+            self._close(False)
 
-    def lost(self, reset: bool) -> None:
+    def endpoint_lost(self, reset: bool) -> None:
         """One of the sockets is gone."""
-        if self.state is not Link.ENDED:
-            self._stop(reset)
+        if self.state is not ConnectionState.CLOSED:
+            self._close(reset)
 
-    def _stop(self, reset: bool) -> None:
-        if self.state is Link.ENDED:
+    def _close(self, reset: bool) -> None:
+        if self.state is ConnectionState.CLOSED:
             return
-        self.to(Link.ENDED)
-        if self.task is not None and not self.task.done():
-            self.task.cancel()
+        self.change_state(ConnectionState.CLOSED)
+        if self.connect_task is not None and not self.connect_task.done():
+            self.connect_task.cancel()
         lines: list[str] = []
         for flow in (self.up, self.down):
-            flow.stop()
+            flow.cancel_timers()
             if flow.schedule is not None:
                 lines += [choice.text(self.name) for choice in flow.schedule.trace]
-        for end in (self.near, self.far):
+        for end in (self.client, self.target):
             if end.transport is not None and reset:
                 tcp.abort_with_reset(end.transport)
             elif end.transport is not None:
                 end.transport.close()
-        self.box.traced(self.name, lines)
-        self.box.connections.pop(self, None)
+        self.proxy.add_trace(self.name, lines)
+        self.proxy.connections.pop(self, None)
 
 
 @dataclass(slots=True)
@@ -324,7 +330,7 @@
     loop: asyncio.AbstractEventLoop = field(init=False)
     connections: dict[Connection, None] = field(default_factory=dict, init=False)
     stats: ProxyStats = field(default_factory=ProxyStats, init=False)
-    _names: Counter[str] = field(default_factory=Counter, init=False)
+    _name_counts: Counter[str] = field(default_factory=Counter, init=False)
     _traces: dict[str, list[str]] = field(default_factory=dict, init=False)
     _server: asyncio.Server | None = field(default=None, init=False)
 
@@ -342,14 +348,14 @@
     def _accept(self) -> Endpoint:
         number = self.stats.connections
         self.stats.connections += 1
-        return Connection(self, number).near
+        return Connection(self, number).client
 
-    def name_of(self, first: bytes) -> str:
+    def name_from_first_line(self, first: bytes) -> str:
         """By the first three words of the first line; what comes again is counted."""
         words = first.split(b"\n", 1)[0].split()[:3]
         base = blake2b(b" ".join(words), digest_size=6).hexdigest()
-        self._names[base] += 1
-        return base if self._names[base] == 1 else f"{base}.{self._names[base]}"
+        self._name_counts[base] += 1
+        return base if self._name_counts[base] == 1 else f"{base}.{self._name_counts[base]}"
 
     def replace_script(self, script: Script) -> None:
         """Turns to other rules, for open connections too: their moments count from now on.
@@ -360,10 +366,10 @@
             raise ValueError("expected scripts whose connections are known by order")
         self.script = script
         for link in list(self.connections):
-            link.turn()
+            link.replace_script()
 
-    def traced(self, name: str, lines: list[str]) -> None:
-        room = max(0, TRACED - self.stats.traced_lines)
+    def add_trace(self, name: str, lines: list[str]) -> None:
+        room = max(0, MAX_TRACE_LINES - self.stats.traced_lines)
         self.stats.dropped_lines += max(0, len(lines) - room)
         self.stats.traced_lines += min(len(lines), room)
         if lines[:room]:
@@ -380,7 +386,7 @@
         if self._server is not None:
             self._server.close()
         for link in list(self.connections):
-            link.lost(False)
+            link.endpoint_lost(False)
         if self._server is not None:
             await self._server.wait_closed()
 
--- a/pointgw/fault_proxy/schedule.py
+++ b/pointgw/fault_proxy/schedule.py
@@ -13,9 +13,9 @@
 from enum import Enum
 from random import Random
 
-from pointgw.fault_proxy.script import LASTING, ON_BOTH, ON_LINES, Rule, Script
+from pointgw.fault_proxy.script import CONNECTION_ACTS, CONTINUOUS_ACTS, LINE_ACTS, Rule, Script
 
-LONGEST_HELD = 64 * 1024  # bytes of a line that is held to be doubled or replaced
+MAX_HELD_BYTES = 64 * 1024  # bytes of a line that is held to be doubled or replaced
 NEWLINE = 10
 
 
@@ -54,7 +54,7 @@
 class TraceEntry:
     """One line of the trace: what was decided, and at which byte and line of the direction."""
 
-    way: str
+    direction: str
     rule: int
     act: str
     byte: int
@@ -63,10 +63,13 @@
 
     def text(self, connection: str) -> str:
         tail = f" {self.detail}" if self.detail else ""
-        return f"{connection} {self.way} rule={self.rule} {self.act} byte={self.byte} line={self.line}{tail}"
+        return (
+            f"{connection} {self.direction} rule={self.rule} {self.act}"
+            f" byte={self.byte} line={self.line}{tail}"
+        )
 
 
-class Phase(Enum):
+class RulePhase(Enum):
     """Where a rule stands within one direction of a connection."""
 
     WAITING = "waiting"  # its moment has not come
@@ -74,65 +77,65 @@
     SPENT = "spent"
 
 
-class Standing:
+class RuleState:
     """One rule within one direction of one connection."""
 
-    __slots__ = ("left", "number", "phase", "rng", "rule", "units")
+    __slots__ = ("delayed_lines", "number", "phase", "remaining_times", "rng", "rule")
 
     def __init__(self, rule: Rule, number: int, rng: Random) -> None:
         self.rule, self.number, self.rng = rule, number, rng
-        self.phase = Phase.WAITING
-        self.left = rule.times
-        self.units = 0  # lines that a delay was drawn for
+        self.phase = RulePhase.WAITING
+        self.remaining_times = rule.times
+        self.delayed_lines = 0  # lines that a delay was drawn for
 
-    def to(self, phase: Phase) -> None:
-        if self.phase is Phase.SPENT:
+    def change_phase(self, phase: RulePhase) -> None:
+        if self.phase is RulePhase.SPENT:
             raise ValueError(f"rule {self.number} is spent")
         self.phase = phase
 
 
-def concerns(rule: Rule, number: int | None, rng: Random) -> bool:
+def applies_to(rule: Rule, number: int | None, rng: Random) -> bool:
     """Whether a rule is for this connection; `number` is None where the first line tells it."""
-    drawn = rng.random() < rule.share  # drawn for each rule, so that one doesn't move the next
+    selected = rng.random() < rule.share  # drawn for each rule, so that one doesn't move the next
     if number is None:
-        return drawn
-    return drawn and number >= rule.first and (number - rule.first) % rule.every == 0
+        return selected
+    return selected and number >= rule.first and (number - rule.first) % rule.every == 0
 
 
 def select_rules(script: Script, seed: int, name: str, number: int | None) -> list[int]:
     """The numbers of the rules that hold for a connection."""
-    return [i for i, rule in enumerate(script.rule) if concerns(rule, number, Random(f"{seed}/{name}/{i}"))]
+    return [i for i, rule in enumerate(script.rule) if applies_to(rule, number, Random(f"{seed}/{name}/{i}"))]
 
 
 class Schedule:
     """One direction of one connection."""
 
-    def __init__(self, script: Script, rules: list[int], seed: int, name: str, way: str) -> None:
-        self.way = way
+    def __init__(self, script: Script, rules: list[int], seed: int, name: str, direction: str) -> None:
+        self.direction = direction
         self.rules = [
-            Standing(script.rule[i], i, Random(f"{seed}/{name}/{i}/{way}"))
+            RuleState(script.rule[i], i, Random(f"{seed}/{name}/{i}/{direction}"))
             for i in rules
-            if script.rule[i].way in (way, "both") and script.rule[i].act != "refuse"
+            if script.rule[i].way in (direction, "both") and script.rule[i].act != "refuse"
         ]
         self.trace: list[TraceEntry] = []
         self.byte = self.line = 0  # of what has come in
-        self.fresh = True  # the next byte begins a line
+        self.at_line_start = True  # the next byte begins a line
         self.delay = 0.0
-        self.over = False
-        self.held = bytearray()  # the line that may be doubled or replaced
-        self.holding = self.dropping = False
+        self.is_finished = False
+        self.held_line = bytearray()  # the line that may be doubled or replaced
+        self.is_holding = self.is_dropping = False
         self.now = 0.0
 
-    def due(self) -> float | None:
+    def next_time(self) -> float | None:
         """When the next rule acts by time alone, in seconds of the connection; None: none does."""
-        times = [s.rule.after_seconds for s in self.rules if s.phase is Phase.WAITING]
+        times = [s.rule.after_seconds for s in self.rules if s.phase is RulePhase.WAITING]
         return min((at for at in times if at is not None), default=None)
 
-    def at(self, now: float) -> list[Step]:
+    def advance(self, now: float) -> list[Step]:
         """By the clock: cuts and stalls need no byte to pass."""
         self.now = now
         steps: list[Step] = []
-        self._begin(steps)
+        self._start_due_rules(steps)
         return steps
 
     def feed(self, data: bytes, now: float) -> list[Step]:
@@ -140,163 +143,163 @@
         self.now = now
         steps: list[Step] = []
         at = 0
-        while at < len(data) and not self.over:
-            self._begin(steps)
-            if self.over:
+        while at < len(data) and not self.is_finished:
+            self._start_due_rules(steps)
+            if self.is_finished:
                 break
-            if self.fresh:
-                self._begin_line()
-            end = self._until(data, at)
-            self._take(data[at:end], steps)
+            if self.at_line_start:
+                self._start_line()
+            end = self._run_end(data, at)
+            self._process(data[at:end], steps)
             at = end
-        if not self.over:
-            self._begin(steps)
-        return _joined(steps)
+        if not self.is_finished:
+            self._start_due_rules(steps)
+        return _coalesced(steps)
 
     def release(self) -> list[Step]:
         """What is held of a line goes on as it is."""
         steps: list[Step] = []
-        self._give(bytes(self.held), steps)
-        self.held.clear()
+        self._forward(bytes(self.held_line), steps)
+        self.held_line.clear()
         return steps
 
     def finish(self) -> list[Step]:
         """The sender has ended: what is held goes on, and then the end."""
         steps: list[Step] = []
-        if not self.over:
+        if not self.is_finished:
             steps += self.release()
-            self.over = True
+            self.is_finished = True
             steps.append(HalfClose())
-        return _joined(steps)
+        return _coalesced(steps)
 
-    def _until(self, data: bytes, at: int) -> int:
+    def _run_end(self, data: bytes, at: int) -> int:
         """Where the run of bytes ends that nothing can change within: a line's end or a rule's byte."""
         newline = data.find(b"\n", at)
         end = len(data) if newline < 0 else newline + 1
-        for standing in self.rules:
-            moment = standing.rule.after_bytes
-            if standing.phase is Phase.WAITING and moment is not None and self.byte < moment:
+        for state in self.rules:
+            moment = state.rule.after_bytes
+            if state.phase is RulePhase.WAITING and moment is not None and self.byte < moment:
                 end = min(end, at + moment - self.byte)
         return end
 
-    def _begin(self, steps: list[Step]) -> None:
+    def _start_due_rules(self, steps: list[Step]) -> None:
         """Rules whose moment has come."""
-        for standing in self.rules:
-            if self.over or standing.phase is not Phase.WAITING or not self._has_come(standing.rule):
+        for state in self.rules:
+            if self.is_finished or state.phase is not RulePhase.WAITING or not self._is_due(state.rule):
                 continue
-            rule = standing.rule
-            standing.to(Phase.ACTING)
-            if rule.act in (*ON_LINES, *LASTING):
+            rule = state.rule
+            state.change_phase(RulePhase.ACTING)
+            if rule.act in (*LINE_ACTS, *CONTINUOUS_ACTS):
                 if rule.act == "rate":
-                    self._note(standing, f"bytes_per_second={rule.bytes_per_second}")
+                    self._add_trace(state, f"bytes_per_second={rule.bytes_per_second}")
                 continue
-            self._note(standing, f"seconds={rule.seconds:g}" if rule.act == "stall" else "")
-            standing.to(Phase.SPENT)
+            self._add_trace(state, f"seconds={rule.seconds:g}" if rule.act == "stall" else "")
+            state.change_phase(RulePhase.SPENT)
             if rule.act == "stall":
                 steps.append(Stall(rule.seconds))
             elif rule.act == "half-close":
-                self._give(bytes(self.held), steps)
-                self.over = True
+                self._forward(bytes(self.held_line), steps)
+                self.is_finished = True
                 steps.append(HalfClose())
-            elif rule.act in ON_BOTH:
-                self._give(bytes(self.held), steps)
-                self.over = True
+            elif rule.act in CONNECTION_ACTS:
+                self._forward(bytes(self.held_line), steps)
+                self.is_finished = True
                 steps.append(Close(rule.act == "reset"))
 
-    def _has_come(self, rule: Rule) -> bool:
+    def _is_due(self, rule: Rule) -> bool:
         if rule.after_seconds is not None:
             return self.now >= rule.after_seconds
         if rule.after_lines is not None:
             return self.line >= rule.after_lines
         return self.byte >= (rule.after_bytes or 0)
 
-    def _begin_line(self) -> None:
+    def _start_line(self) -> None:
         """What is decided once for a line: its delay, and whether it is changed."""
-        self.fresh, self.delay = False, 0.0
-        self.holding = self.dropping = False
-        for standing in self.rules:
-            if standing.phase is not Phase.ACTING:
+        self.at_line_start, self.delay = False, 0.0
+        self.is_holding = self.is_dropping = False
+        for state in self.rules:
+            if state.phase is not RulePhase.ACTING:
                 continue
-            rule = standing.rule
+            rule = state.rule
             if rule.act == "delay":
-                delay = rule.seconds + rule.grow * standing.units + rule.jitter * standing.rng.random()
-                standing.units += 1
+                delay = rule.seconds + rule.grow * state.delayed_lines + rule.jitter * state.rng.random()
+                state.delayed_lines += 1
                 self.delay += delay
-                self._note(standing, f"seconds={delay:.6f}")
+                self._add_trace(state, f"seconds={delay:.6f}")
             elif rule.act == "drop":
-                self.dropping = True
-                self._use(standing)
+                self.is_dropping = True
+                self._use_once(state)
             elif rule.act in ("double", "replace", "garble"):
-                self.holding = True
+                self.is_holding = True
 
-    def _use(self, standing: Standing, detail: str = "") -> None:
-        self._note(standing, detail)
-        standing.left -= 1
-        if not standing.left:
-            standing.to(Phase.SPENT)
+    def _use_once(self, state: RuleState, detail: str = "") -> None:
+        self._add_trace(state, detail)
+        state.remaining_times -= 1
+        if not state.remaining_times:
+            state.change_phase(RulePhase.SPENT)
 
-    def _take(self, run: bytes, steps: list[Step]) -> None:
+    def _process(self, run: bytes, steps: list[Step]) -> None:
         self.byte += len(run)
         ends = run[-1] == NEWLINE
-        if self.holding and not self.dropping:
-            self.held += run
-            if ends or len(self.held) > LONGEST_HELD:
-                line = self._changed(bytes(self.held)) if ends else bytes(self.held)
-                self.held.clear()
-                self.holding = False
-                self._give(line, steps)
-        elif not self.dropping:
-            self._give(run, steps)
+        if self.is_holding and not self.is_dropping:
+            self.held_line += run
+            if ends or len(self.held_line) > MAX_HELD_BYTES:
+                line = self._modified(bytes(self.held_line)) if ends else bytes(self.held_line)
+                self.held_line.clear()
+                self.is_holding = False
+                self._forward(line, steps)
+        elif not self.is_dropping:
+            self._forward(run, steps)
         if ends:
             self.line += 1
-            self.fresh = True
+            self.at_line_start = True
 
-    def _changed(self, line: bytes) -> bytes:
-        for standing in self.rules:
-            rule = standing.rule
-            if standing.phase is not Phase.ACTING:
+    def _modified(self, line: bytes) -> bytes:
+        for state in self.rules:
+            rule = state.rule
+            if state.phase is not RulePhase.ACTING:
                 continue
             if rule.act == "replace" and line.startswith(rule.find.encode()):
                 line = rule.put.encode() + line[len(rule.find.encode()) :]
-                self._use(standing, f"find={rule.find} put={rule.put}")
+                self._use_once(state, f"find={rule.find} put={rule.put}")
             elif rule.act == "garble":
                 body = line.rstrip(b"\r\n")
-                place = standing.rng.randrange(max(1, len(body)))
-                value = standing.rng.randrange(1, 256)
+                place = state.rng.randrange(max(1, len(body)))
+                value = state.rng.randrange(1, 256)
                 mixed = bytes([body[place] ^ value]) if body else b"?"
                 line = body[:place] + mixed + body[place + 1 :] + line[len(body) :]
-                self._use(standing, f"place={place} by={value}")
+                self._use_once(state, f"place={place} by={value}")
             elif rule.act == "double":
                 line += line
-                self._use(standing)
+                self._use_once(state)
         return line
 
-    def _give(self, data: bytes, steps: list[Step]) -> None:
+    def _forward(self, data: bytes, steps: list[Step]) -> None:
         if data:
             rates = [
                 s.rule.bytes_per_second
                 for s in self.rules
-                if s.phase is Phase.ACTING and s.rule.bytes_per_second is not None
+                if s.phase is RulePhase.ACTING and s.rule.bytes_per_second is not None
             ]
             steps.append(Forward(data, self.delay, min(rates, default=None)))
 
-    def _note(self, standing: Standing, detail: str) -> None:
+    def _add_trace(self, state: RuleState, detail: str) -> None:
         self.trace.append(
-            TraceEntry(self.way, standing.number, standing.rule.act, self.byte, self.line, detail)
+            TraceEntry(self.direction, state.number, state.rule.act, self.byte, self.line, detail)
         )
 
 
-def _joined(steps: list[Step]) -> list[Step]:
+def _coalesced(steps: list[Step]) -> list[Step]:
     """Runs that go on alike, as one step."""
     out: list[Step] = []
     for step in steps:
         last = out[-1] if out else None
-        if isinstance(step, Forward) and isinstance(last, Forward) and _alike(step, last):
+        if isinstance(step, Forward) and isinstance(last, Forward) and _is_mergeable(step, last):
             out[-1] = Forward(last.data + step.data, last.delay, last.rate)
         else:
             out.append(step)
     return out
 
 
-def _alike(one: Forward, other: Forward) -> bool:
+def _is_mergeable(one: Forward, other: Forward) -> bool:
     return (one.delay, one.rate) == (other.delay, other.rate)
--- a/pointgw/fault_proxy/script.py
+++ b/pointgw/fault_proxy/script.py
@@ -12,11 +12,11 @@
 ]
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Positive = Annotated[int, msgspec.Meta(ge=1)]
-Time = Annotated[float, msgspec.Meta(ge=0.0, le=3600.0)]
+Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=3600.0)]
 Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
-LASTING = ("delay", "rate")
-ON_LINES = ("drop", "double", "garble", "replace")
-ON_BOTH = ("end", "reset", "refuse")
+CONTINUOUS_ACTS = ("delay", "rate")
+LINE_ACTS = ("drop", "double", "garble", "replace")
+CONNECTION_ACTS = ("end", "reset", "refuse")
 
 
 class Rule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -33,10 +33,10 @@
     share: Share = 1.0  # of these by chance
     after_bytes: Count | None = None
     after_lines: Count | None = None
-    after_seconds: Time | None = None
-    seconds: Time = 0.0  # delay: of each line; stall: how long (0: for good)
-    jitter: Time = 0.0  # delay: up to this much more, by chance
-    grow: Time = 0.0  # delay: more with each line
+    after_seconds: Seconds | None = None
+    seconds: Seconds = 0.0  # delay: of each line; stall: how long (0: for good)
+    jitter: Seconds = 0.0  # delay: up to this much more, by chance
+    grow: Seconds = 0.0  # delay: more with each line
     bytes_per_second: Positive | None = None  # rate
     times: Positive = 1  # drop, double, garble, replace: how many lines
     find: str = ""  # replace: what a line begins with
@@ -52,7 +52,7 @@
             yield "seconds", self.seconds, "seconds, jitter or grow over 0, as act is 'delay'"
         if self.act == "replace" and not self.find:
             yield "find", self.find, "what a line begins with, as act is 'replace'"
-        if self.act in ON_LINES and self.after_bytes is not None:
+        if self.act in LINE_ACTS and self.after_bytes is not None:
             yield "after_bytes", self.after_bytes, f"after_lines or after_seconds, as act is {self.act!r}"
 
 
--- a/pointgw/state/merge.py
+++ b/pointgw/state/merge.py
@@ -11,38 +11,38 @@
 
 from pointgw.state.records import ServerRecord
 
-RANK = {"active": 0, "leaving": 1, "left": 2}
+STATE_RANK = {"active": 0, "leaving": 1, "left": 2}
 
 
 def join_records(one: ServerRecord, other: ServerRecord) -> ServerRecord:
     """The fact that holds of two about the same server."""
-    won = max(one, other, key=_key)
-    seen = max(one.seen_at, other.seen_at) if one.started_at == other.started_at else won.seen_at
-    return _with_seen(won, seen)
+    winner = max(one, other, key=_precedence)
+    seen_at = max(one.seen_at, other.seen_at) if one.started_at == other.started_at else winner.seen_at
+    return _with_seen_at(winner, seen_at)
 
 
-def _key(fact: ServerRecord) -> tuple[object, ...]:
+def _precedence(record: ServerRecord) -> tuple[object, ...]:
     """The rest of the fields only decide where all else is equal, so that the order never does."""
     return (
-        fact.started_at, RANK[fact.state], fact.confirmed_at, fact.host, fact.port, fact.zone, fact.kind,
-        fact.cell, fact.weight,
+        record.started_at, STATE_RANK[record.state], record.confirmed_at, record.host,
+        record.port, record.zone, record.kind, record.cell, record.weight,
     )  # fmt: skip
 
 
-def _with_seen(fact: ServerRecord, seen: float) -> ServerRecord:
-    if fact.seen_at == seen:
-        return fact
+def _with_seen_at(record: ServerRecord, seen_at: float) -> ServerRecord:
+    if record.seen_at == seen_at:
+        return record
     return ServerRecord(
-        fact.name, fact.state, fact.started_at, fact.confirmed_at, fact.host, fact.port, fact.zone, fact.kind,
-        fact.cell, fact.weight, seen,
+        record.name, record.state, record.started_at, record.confirmed_at, record.host,
+        record.port, record.zone, record.kind, record.cell, record.weight, seen_at,
     )  # fmt: skip
 
 
 def merge(*sources: Iterable[ServerRecord]) -> dict[str, ServerRecord]:
     """What holds of each server, by name; sorted, so that equal contents are equal in order too."""
-    found: dict[str, ServerRecord] = {}
+    merged: dict[str, ServerRecord] = {}
     for source in sources:
-        for fact in source:
-            known = found.get(fact.name)
-            found[fact.name] = fact if known is None else join_records(known, fact)
-    return dict(sorted(found.items()))
+        for record in source:
+            known = merged.get(record.name)
+            merged[record.name] = record if known is None else join_records(known, record)
+    return dict(sorted(merged.items()))
--- a/pointgw/state/restore.py
+++ b/pointgw/state/restore.py
@@ -18,8 +18,10 @@
 from pointgw.state.merge import join_records, merge
 from pointgw.state.records import LearnedFigures, ServerHealth, ServerLifetimes, ServerRecord, Snapshot
 
-KEPT_AWAY = 7 * 86_400.0  # seconds that a server told away is remembered, if nothing was heard of it
-MOST = 50_000  # facts that are kept; the oldest of those told away go first
+INACTIVE_RETENTION_SECONDS = (
+    7 * 86_400.0
+)  # seconds that a server told away is remembered, if nothing was heard of it
+MAX_RECORDS = 50_000  # facts that are kept; the oldest of those told away go first
 
 
 @dataclass(slots=True)
@@ -36,9 +38,9 @@
 
     def apply_list(
         self,
-        lines: Iterable[ServerEntry],
+        entries: Iterable[ServerEntry],
         addresses: Iterable[tuple[str, str, int]],
-        whole: bool,
+        is_full: bool,
         now: float,
     ) -> list[ServerEntry]:
         """A list of discovery, or changes; gives it as the decisions may take it.
@@ -46,47 +48,49 @@
         A line that says up again of a process told away before the start is taken as leaving: rule 3 wins.
         """
         self.confirm_listed(now)
-        at = {name: (host, port) for name, host, port in addresses}
-        taken: list[ServerEntry] = []
+        address_of = {name: (host, port) for name, host, port in addresses}
+        accepted: list[ServerEntry] = []
         listed: set[str] = set()
-        for line in lines:
-            known = self.records.get(line.server)
+        for entry in entries:
+            known = self.records.get(entry.server)
             # A line that tells a server away may not tell when its process started: it is the one known.
-            started = line.started_at
-            if line.state != "active" and known is not None:
-                started = max(started, known.started_at)
-            host, port = at.get(line.server, (known.host, known.port) if known is not None else ("", 0))
-            seen = known.seen_at if known is not None and known.started_at == started else 0.0
-            fact = ServerRecord(
-                line.server, line.state, started, now, host, port, line.zone, line.kind, line.cell,
-                line.weight, seen,
+            started_at = entry.started_at
+            if entry.state != "active" and known is not None:
+                started_at = max(started_at, known.started_at)
+            host, port = address_of.get(
+                entry.server, (known.host, known.port) if known is not None else ("", 0)
+            )
+            seen_at = known.seen_at if known is not None and known.started_at == started_at else 0.0
+            record = ServerRecord(
+                entry.server, entry.state, started_at, now, host, port, entry.zone, entry.kind, entry.cell,
+                entry.weight, seen_at,
             )  # fmt: skip
-            told = self.inactive_before_start.get(line.server)
-            if told is not None and line.state == "active":
-                if line.started_at <= told.started_at:
-                    line = line._replace(state="leaving")
-                    fact = join_records(fact, told)
+            inactive = self.inactive_before_start.get(entry.server)
+            if inactive is not None and entry.state == "active":
+                if entry.started_at <= inactive.started_at:
+                    entry = entry._replace(state="leaving")
+                    record = join_records(record, inactive)
                 else:
-                    del self.inactive_before_start[line.server]
-            self._put(fact, known, now)
-            taken.append(line)
-            listed.add(line.server)
-        if whole:
-            for name, fact in list(self.records.items()):
-                if name not in listed and not fact.is_inactive:
-                    gone = msgspec.structs.replace(fact, state="left", confirmed_at=now)
-                    self._put(gone, fact, now)
-        return taken
-
-    def _put(self, fact: ServerRecord, known: ServerRecord | None, now: float) -> None:
-        if known is None or (known.state, known.started_at) != (fact.state, fact.started_at):
+                    del self.inactive_before_start[entry.server]
+            self._put(record, known, now)
+            accepted.append(entry)
+            listed.add(entry.server)
+        if is_full:
+            for name, record in list(self.records.items()):
+                if name not in listed and not record.is_inactive:
+                    left = msgspec.structs.replace(record, state="left", confirmed_at=now)
+                    self._put(left, record, now)
+        return accepted
+
+    def _put(self, record: ServerRecord, known: ServerRecord | None, now: float) -> None:
+        if known is None or (known.state, known.started_at) != (record.state, record.started_at):
             self.change_count += 1
-            if known is not None and not known.is_inactive and known.started_at and fact.state == "left":
-                life = max(0.0, now - known.started_at)
+            if known is not None and not known.is_inactive and known.started_at and record.state == "left":
+                lifetime = max(0.0, now - known.started_at)
                 self.lifetimes = ServerLifetimes(
-                    self.lifetimes.ended_count + 1, self.lifetimes.total_seconds + life
+                    self.lifetimes.ended_count + 1, self.lifetimes.total_seconds + lifetime
                 )
-        self.records[fact.name] = fact
+        self.records[record.name] = record
 
     def confirm_listed(self, now: float) -> None:
         """Discovery has told what is new, or that nothing is: all else that it listed stands."""
@@ -94,22 +98,22 @@
 
     def confirm_alive(self, name: str, now: float) -> None:
         """Own traffic has shown a server alive; told to the second."""
-        fact = self.records.get(name)
-        if fact is not None and not fact.is_inactive and now - fact.seen_at > 1.0:
-            self.records[name] = msgspec.structs.replace(fact, seen_at=now)
+        record = self.records.get(name)
+        if record is not None and not record.is_inactive and now - record.seen_at > 1.0:
+            self.records[name] = msgspec.structs.replace(record, seen_at=now)
 
     def snapshot_records(self, now: float) -> tuple[ServerRecord, ...]:
         """What goes into the memory: bounded, and without what was told away long ago."""
-        facts = [
+        records = [
             msgspec.structs.replace(f, confirmed_at=max(f.confirmed_at, self.discovery_answered_at))
             if not f.is_inactive
             else f
             for f in self.records.values()
-            if not f.is_inactive or abs(now - f.confirmed_at) < KEPT_AWAY
+            if not f.is_inactive or abs(now - f.confirmed_at) < INACTIVE_RETENTION_SECONDS
         ]
-        if len(facts) > MOST:
-            facts = sorted(facts, key=lambda f: (f.is_inactive, -f.confirmed_at, f.name))[:MOST]
-        return tuple(facts)
+        if len(records) > MAX_RECORDS:
+            records = sorted(records, key=lambda f: (f.is_inactive, -f.confirmed_at, f.name))[:MAX_RECORDS]
+        return tuple(records)
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,57 +133,67 @@
 
 
 def records_from_list(
-    lines: Iterable[ServerEntry], addresses: Iterable[tuple[str, str, int]]
+    entries: Iterable[ServerEntry], addresses: Iterable[tuple[str, str, int]]
 ) -> list[ServerRecord]:
     """The start-up file's list as facts. It may be old, and doesn't tell how old: nothing confirms it."""
-    where = {name: (host, port) for name, host, port in addresses}
+    address_of = {name: (host, port) for name, host, port in addresses}
     return [
         ServerRecord(
-            line.server, line.state, line.started_at, 0.0, *where.get(line.server, ("", 0)), line.zone,
+            line.server, line.state, line.started_at, 0.0, *address_of.get(line.server, ("", 0)), line.zone,
             line.kind, line.cell, line.weight,
         )
-        for line in lines
+        for line in entries
     ]  # fmt: skip
 
 
 def restore(
-    memory: Snapshot, known: Iterable[ServerRecord], fingerprint: str, now: float, run: str = ""
+    snapshot: Snapshot, listed: Iterable[ServerRecord], fingerprint: str, now: float, boot_id: str = ""
 ) -> RestoredState | None:
     """What holds by the memory and the start-up file together; None: it is another installation's.
 
     The start-up file's list adds servers, which are doubted, and brings none back. `run`: the machine's, now.
     """
-    if memory.fingerprint != fingerprint:
+    if snapshot.fingerprint != fingerprint:
         return None
-    facts = merge(memory.servers, known)
-    counts: Counter[str] = Counter()
-    doubted: set[str] = set()
-    warm: set[str] = set()
-    lines: list[ServerEntry] = []
+    records = merge(snapshot.servers, listed)
+    status_counts: Counter[str] = Counter()
+    stale: set[str] = set()
+    same_process: set[str] = set()
+    entries: list[ServerEntry] = []
     addresses: list[tuple[str, str, int]] = []
-    for fact in facts.values():
-        how = record_status(fact, memory.lifetimes, now)
-        counts[how.value] += 1
-        if how is RecordStatus.STALE:
-            doubted.add(fact.name)
-        elif is_same_process(memory, fact, run, now):
-            warm.add(fact.name)
-        if not fact.host:
+    for record in records.values():
+        status = record_status(record, snapshot.lifetimes, now)
+        status_counts[status.value] += 1
+        if status is RecordStatus.STALE:
+            stale.add(record.name)
+        elif is_same_process(snapshot, record, boot_id, now):
+            same_process.add(record.name)
+        if not record.host:
             continue
-        lines.append(
-            ServerEntry(fact.name, fact.state, fact.kind, fact.cell, fact.zone, fact.started_at, fact.weight)
+        entries.append(
+            ServerEntry(
+                record.name,
+                record.state,
+                record.kind,
+                record.cell,
+                record.zone,
+                record.started_at,
+                record.weight,
+            )
         )
-        addresses.append((fact.name, fact.host, fact.port))
-    roster = MembershipView(
-        dict(facts), memory.lifetimes, inactive_before_start={n: f for n, f in facts.items() if f.is_inactive}
+        addresses.append((record.name, record.host, record.port))
+    membership = MembershipView(
+        dict(records),
+        snapshot.lifetimes,
+        inactive_before_start={n: f for n, f in records.items() if f.is_inactive},
     )
     return RestoredState(
-        roster, tuple(lines), tuple(addresses), frozenset(doubted), memory.health, memory.learned,
-        dict(counts), now - memory.written_at, memory.clean_stop, frozenset(warm),
+        membership, tuple(entries), tuple(addresses), frozenset(stale), snapshot.health, snapshot.learned,
+        dict(status_counts), now - snapshot.written_at, snapshot.clean_stop, frozenset(same_process),
     )  # fmt: skip
 
 
-def rows(memory: Snapshot, now: float) -> list[dict[str, object]]:
+def rows(snapshot: Snapshot, now: float) -> list[dict[str, object]]:
     """Each entry, its age and trust, and why it would or would not be used."""
     why = {
         RecordStatus.TRUSTED: "used like a live one",
@@ -190,9 +204,9 @@
         {
             "server": fact.name, "state": fact.state,
             "age": round(now - max(fact.confirmed_at, fact.seen_at), 1),
-            "trust": round(confidence(fact, memory.lifetimes, now), 3),
-            "standing": record_status(fact, memory.lifetimes, now).value,
-            "why": why[record_status(fact, memory.lifetimes, now)],
+            "trust": round(confidence(fact, snapshot.lifetimes, now), 3),
+            "standing": record_status(fact, snapshot.lifetimes, now).value,
+            "why": why[record_status(fact, snapshot.lifetimes, now)],
         }
-        for fact in memory.servers
+        for fact in snapshot.servers
     ]  # fmt: skip
--- a/pointgw/state/snapshot_store.py
+++ b/pointgw/state/snapshot_store.py
@@ -15,11 +15,11 @@
 from dataclasses import dataclass
 
 from pointgw.state.records import Snapshot
-from pointgw.state.snapshot_format import LARGEST, DamagedSnapshotError, NewerVersionError, decode
+from pointgw.state.snapshot_format import MAX_FILE_BYTES, DamagedSnapshotError, NewerVersionError, decode
 
-KEPT = 2  # generations
-PREFIX, ASIDE, OWNER = "state.", "state-new", "owner"
-MODE = 0o600
+KEPT_GENERATIONS = 2  # generations
+FILE_PREFIX, TEMPORARY_NAME, LOCK_NAME = "state.", "state-new", "owner"
+FILE_MODE = 0o600
 
 
 class FolderInUseError(Exception):
@@ -38,102 +38,104 @@
 class SnapshotStore:
     """One folder. `claim` before `save`; `load` needs no claim."""
 
-    def __init__(self, folder: str, step: Callable[[str], None] = lambda name: None) -> None:
-        self.folder, self.before_step = folder, step
+    def __init__(self, folder: str, before_step: Callable[[str], None] = lambda name: None) -> None:
+        self.folder, self.before_step = folder, before_step
         self.generation = 0
-        self.owner = -1
+        self.lock_descriptor = -1
 
-    def claim(self, who: str) -> None:
+    def claim(self, owner: str) -> None:
         """Raises `FolderInUseError`, or OSError where the folder can't be used."""
         os.makedirs(self.folder, mode=0o700, exist_ok=True)
-        place = self._folder()
+        folder = self._open_folder()
         try:
             flags = os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC
-            held = os.open(OWNER, flags, MODE, dir_fd=place)
+            lock = os.open(LOCK_NAME, flags, FILE_MODE, dir_fd=folder)
         finally:
-            os.close(place)
+            os.close(folder)
         try:
-            fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            told = os.read(held, 200).decode("utf-8", "replace").strip()
-            os.close(held)
-            raise FolderInUseError(told or "another process") from None
-        os.ftruncate(held, 0)
-        os.pwrite(held, f"{who} (process {os.getpid()})\n".encode(), 0)
-        self.owner = held
+            holder = os.read(lock, 200).decode("utf-8", "replace").strip()
+            os.close(lock)
+            raise FolderInUseError(holder or "another process") from None
+        os.ftruncate(lock, 0)
+        os.pwrite(lock, f"{owner} (process {os.getpid()})\n".encode(), 0)
+        self.lock_descriptor = lock
 
     def release(self) -> None:
-        if self.owner >= 0:
-            os.close(self.owner)
-            self.owner = -1
+        if self.lock_descriptor >= 0:
+            os.close(self.lock_descriptor)
+            self.lock_descriptor = -1
 
     def load(self) -> LoadResult:
         """The newest sound generation. Raises `NewerVersionError`; a folder that isn't there holds
         nothing."""
-        lost: list[str] = []
+        damaged: list[str] = []
         try:
-            place = self._folder()
+            folder = self._open_folder()
         except FileNotFoundError:
             return LoadResult(None, 0, ())
         try:
-            numbers = self._numbers(place)
-            self.generation = max(numbers, default=0)
-            for number in sorted(numbers, reverse=True):
+            generations = self._generations(folder)
+            self.generation = max(generations, default=0)
+            for generation in sorted(generations, reverse=True):
                 try:
-                    return LoadResult(decode(self._read(place, f"{PREFIX}{number}")), number, tuple(lost))
-                except (DamagedSnapshotError, OSError) as fault:
-                    lost.append(f"{PREFIX}{number}: {fault}")
+                    return LoadResult(
+                        decode(self._read(folder, f"{FILE_PREFIX}{generation}")), generation, tuple(damaged)
+                    )
+                except (DamagedSnapshotError, OSError) as error:
+                    damaged.append(f"{FILE_PREFIX}{generation}: {error}")
         finally:
-            os.close(place)
-        return LoadResult(None, 0, tuple(lost))
+            os.close(folder)
+        return LoadResult(None, 0, tuple(damaged))
 
     def save(self, data: bytes) -> int:
         """Makes a generation durable; gives the bytes written. Raises OSError: the ones before stay."""
-        place = self._folder()
+        folder = self._open_folder()
         try:
             with suppress(FileNotFoundError):
-                os.unlink(ASIDE, dir_fd=place)
+                os.unlink(TEMPORARY_NAME, dir_fd=folder)
             self.before_step("open")
             flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC
-            file = os.open(ASIDE, flags, MODE, dir_fd=place)
+            file = os.open(TEMPORARY_NAME, flags, FILE_MODE, dir_fd=folder)
             try:
-                at = 0
-                while at < len(data):
+                offset = 0
+                while offset < len(data):
                     self.before_step("write")
-                    at += os.write(file, data[at : at + 65536])
+                    offset += os.write(file, data[offset : offset + 65536])
                 self.before_step("fsync")
                 os.fsync(file)
             finally:
                 os.close(file)
-            number = max(self.generation, *self._numbers(place), 0) + 1
+            generation = max(self.generation, *self._generations(folder), 0) + 1
             self.before_step("rename")
-            os.rename(ASIDE, f"{PREFIX}{number}", src_dir_fd=place, dst_dir_fd=place)
-            self.generation = number
+            os.rename(TEMPORARY_NAME, f"{FILE_PREFIX}{generation}", src_dir_fd=folder, dst_dir_fd=folder)
+            self.generation = generation
             self.before_step("fsync folder")
-            os.fsync(place)
-            for old in self._numbers(place):
-                if old <= number - KEPT:
+            os.fsync(folder)
+            for old in self._generations(folder):
+                if old <= generation - KEPT_GENERATIONS:
                     self.before_step("unlink")
                     with suppress(OSError):  # what was saved is durable; the next save tries again
-                        os.unlink(f"{PREFIX}{old}", dir_fd=place)
+                        os.unlink(f"{FILE_PREFIX}{old}", dir_fd=folder)
         finally:
-            os.close(place)
+            os.close(folder)
         return len(data)
 
-    def _folder(self) -> int:
+    def _open_folder(self) -> int:
         return os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_NOFOLLOW | os.O_CLOEXEC)
 
     @staticmethod
-    def _numbers(place: int) -> list[int]:
-        names = (name[len(PREFIX) :] for name in os.listdir(place) if name.startswith(PREFIX))
+    def _generations(folder: int) -> list[int]:
+        names = (name[len(FILE_PREFIX) :] for name in os.listdir(folder) if name.startswith(FILE_PREFIX))
         return [int(name) for name in names if name.isdigit() and len(name) < 19]
 
     @staticmethod
-    def _read(place: int, name: str) -> bytes:
-        file = os.open(name, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC, dir_fd=place)
+    def _read(folder: int, name: str) -> bytes:
+        file = os.open(name, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC, dir_fd=folder)
         try:
-            about = os.fstat(file)
-            if not stat.S_ISREG(about.st_mode) or about.st_size > LARGEST:
+            status = os.fstat(file)
+            if not stat.S_ISREG(status.st_mode) or status.st_size > MAX_FILE_BYTES:
                 raise DamagedSnapshotError("not a plain file of a size that was ever written")
             parts = []
             while part := os.read(file, 1 << 20):
--- a/pointgw/state/snapshot_writer.py
+++ b/pointgw/state/snapshot_writer.py
@@ -18,11 +18,11 @@
 from pointgw.state.snapshot_format import NewerVersionError, encode
 from pointgw.state.snapshot_store import FolderInUseError, LoadResult, SnapshotStore
 
-NEWS_EVERY = 1.0  # seconds within which news of the roster is durable
-FIGURES_EVERY = 10.0
-LOOK = 0.25  # seconds between two looks for news
-BYTES_A_SECOND = 1_000_000  # written at most, on the mean: larger memories are written less often
-LAST = 0.08  # seconds that the last write has when the balancer stops
+CHANGE_INTERVAL_SECONDS = 1.0  # seconds within which news of the roster is durable
+REGULAR_INTERVAL_SECONDS = 10.0
+CHECK_INTERVAL_SECONDS = 0.25  # seconds between two looks for news
+MAX_BYTES_PER_SECOND = 1_000_000  # written at most, on the mean: larger memories are written less often
+FINAL_WRITE_TIMEOUT_SECONDS = 0.08  # seconds that the last write has when the balancer stops
 
 _log = logging.getLogger("pointgw.state")
 
@@ -32,30 +32,30 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.work: SimpleQueue[tuple[Callable[[], int], asyncio.Future[int]]] = SimpleQueue()
+        self.jobs: SimpleQueue[tuple[Callable[[], int], asyncio.Future[int]]] = SimpleQueue()
         self.thread: threading.Thread | None = None
 
-    def submit(self, work: Callable[[], int]) -> asyncio.Future[int]:
+    def submit(self, job: Callable[[], int]) -> asyncio.Future[int]:
         """Its result, or the exception that it raised."""
         future: asyncio.Future[int] = self.loop.create_future()
         if self.thread is None:
             self.thread = threading.Thread(target=self._run, name="pointgw-state", daemon=True)
             self.thread.start()
-        self.work.put((work, future))
+        self.jobs.put((job, future))
         return future
 
     def _run(self) -> None:
         while True:
-            work, future = self.work.get()
+            job, future = self.jobs.get()
             try:
-                result: int | Exception = work()
-            except Exception as fault:
-                result = fault
+                result: int | Exception = job()
+            except Exception as error:
+                result = error
             with suppress(RuntimeError):  # the loop has been closed meanwhile
-                self.loop.call_soon_threadsafe(self._done, future, result)
+                self.loop.call_soon_threadsafe(self._resolve, future, result)
 
     @staticmethod
-    def _done(future: asyncio.Future[int], result: int | Exception) -> None:
+    def _resolve(future: asyncio.Future[int], result: int | Exception) -> None:
         if future.done():
             return
         if isinstance(result, Exception):
@@ -83,94 +83,109 @@
     def __init__(
         self,
         store: SnapshotStore,
-        take: Callable[[bool], Snapshot],
-        news: Callable[[], int],
+        take_snapshot: Callable[[bool], Snapshot],
+        change_count: Callable[[], int],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self.store, self.take_snapshot, self.change_count, self.loop = store, take, news, loop
-        self.writer = WriterThread(loop)
+        self.store, self.take_snapshot, self.change_count, self.loop = (
+            store,
+            take_snapshot,
+            change_count,
+            loop,
+        )
+        self.thread = WriterThread(loop)
         self.stats = WriterStats()
-        self.told = -1  # the news that the latest memory holds
-        self.next_news = self.next_figures = loop.time()
-        self.out: asyncio.Future[int] | None = None
-        self.lost = False  # the latest write failed, which was said once
-        self.timer = loop.call_later(LOOK, self._look)
-
-    def _look(self) -> None:
-        self.timer = self.loop.call_later(LOOK, self._look)  # first: a fault below must not end the chain
+        self.saved_change_count = -1  # the news that the latest memory holds
+        self.next_change_write = self.next_regular_write = loop.time()
+        self.pending_write: asyncio.Future[int] | None = None
+        self.is_failing = False  # the latest write failed, which was said once
+        self.timer = loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
+
+    def _check(self) -> None:
+        self.timer = self.loop.call_later(
+            CHECK_INTERVAL_SECONDS, self._check
+        )  # first: a error below must not end the chain
         now = self.loop.time()
-        due = now >= self.next_figures or (self.change_count() != self.told and now >= self.next_news)
-        if due and self.out is None:
+        due = now >= self.next_regular_write or (
+            self.change_count() != self.saved_change_count and now >= self.next_change_write
+        )
+        if due and self.pending_write is None:
             self._write(False)
 
-    def _write(self, clean: bool) -> asyncio.Future[int]:
+    def _write(self, clean_stop: bool) -> asyncio.Future[int]:
         now = self.loop.time()
-        news, memory = self.change_count(), self.take_snapshot(clean)
-        self.out = self.writer.submit(lambda: self._save(memory))
-        self.told = news
-        self.out.add_done_callback(self._written)
+        change_count, snapshot = self.change_count(), self.take_snapshot(clean_stop)
+        self.pending_write = self.thread.submit(lambda: self._save(snapshot))
+        self.saved_change_count = change_count
+        self.pending_write.add_done_callback(self._write_done)
         wait = max(
-            NEWS_EVERY - 2 * LOOK, self.stats.bytes_written / max(1, self.stats.write_count) / BYTES_A_SECOND
+            CHANGE_INTERVAL_SECONDS - 2 * CHECK_INTERVAL_SECONDS,
+            self.stats.bytes_written / max(1, self.stats.write_count) / MAX_BYTES_PER_SECOND,
+        )
+        self.next_change_write, self.next_regular_write = (
+            now + wait,
+            now + max(wait, REGULAR_INTERVAL_SECONDS - CHECK_INTERVAL_SECONDS),
         )
-        self.next_news, self.next_figures = now + wait, now + max(wait, FIGURES_EVERY - LOOK)
-        return self.out
+        return self.pending_write
 
-    def _save(self, memory: Snapshot) -> int:
+    def _save(self, snapshot: Snapshot) -> int:
         """On the thread."""
-        return self.store.save(encode(memory))
+        return self.store.save(encode(snapshot))
 
-    def _written(self, out: asyncio.Future[int]) -> None:
-        self.out = None
-        if out.cancelled():
+    def _write_done(self, write: asyncio.Future[int]) -> None:
+        self.pending_write = None
+        if write.cancelled():
             return
-        fault = out.exception()
-        if fault is None:
+        error = write.exception()
+        if error is None:
             self.stats.write_count += 1
-            self.stats.bytes_written += out.result()
-            if self.lost:
-                self.lost = False
+            self.stats.bytes_written += write.result()
+            if self.is_failing:
+                self.is_failing = False
                 _log.info("written again", extra={"fields": {"folder": self.store.folder}})
             return
         self.stats.failure_count += 1
-        self.told = -1  # news that is not durable is news still
-        if not self.lost:
-            self.lost = True
-            why = f"{type(fault).__name__} {fault}"
+        self.saved_change_count = -1  # news that is not durable is news still
+        if not self.is_failing:
+            self.is_failing = True
+            why = f"{type(error).__name__} {error}"
             _log.error("not written", extra={"fields": {"folder": self.store.folder, "why": why}})
 
     async def stop(self, clean_stop: bool) -> None:
         """The last write, if the disk takes it in time; the balancer doesn't wait longer."""
         self.timer.cancel()
         try:
-            async with asyncio.timeout(LAST):
-                if self.out is not None:
-                    await asyncio.shield(self.out)
+            async with asyncio.timeout(FINAL_WRITE_TIMEOUT_SECONDS):
+                if self.pending_write is not None:
+                    await asyncio.shield(self.pending_write)
                 await asyncio.shield(self._write(clean_stop))
-        except (TimeoutError, OSError) as fault:
-            told = {"folder": self.store.folder, "why": f"{type(fault).__name__} {fault}".strip()}
-            _log.warning("last write late", extra={"fields": told})
-        if self.out is None or self.out.done():  # else the folder stays claimed until the process has ended
+        except (TimeoutError, OSError) as error:
+            fields = {"folder": self.store.folder, "why": f"{type(error).__name__} {error}".strip()}
+            _log.warning("last write late", extra={"fields": fields})
+        if (
+            self.pending_write is None or self.pending_write.done()
+        ):  # else the folder stays claimed until the process has ended
             self.store.release()
 
 
-def open_store(folder: str, who: str) -> tuple[SnapshotStore, LoadResult] | None:
+def open_store(folder: str, owner: str) -> tuple[SnapshotStore, LoadResult] | None:
     """Claims a folder and reads it. None, and one line of the log, where it can't be used."""
     store = SnapshotStore(folder)
     try:
-        store.claim(who)
-        found = store.load()
-    except NewerVersionError as fault:
+        store.claim(owner)
+        loaded = store.load()
+    except NewerVersionError as error:
         store.release()
-        _log.error("left untouched", extra={"fields": {"folder": folder, "why": str(fault)}})
+        _log.error("left untouched", extra={"fields": {"folder": folder, "why": str(error)}})
         return None
-    except FolderInUseError as fault:
-        _log.error("held by another", extra={"fields": {"folder": folder, "by": str(fault)}})
+    except FolderInUseError as error:
+        _log.error("held by another", extra={"fields": {"folder": folder, "by": str(error)}})
         return None
-    except OSError as fault:
+    except OSError as error:
         store.release()
-        why = f"{type(fault).__name__} {fault}"
+        why = f"{type(error).__name__} {error}"
         _log.error("not usable", extra={"fields": {"folder": folder, "why": why}})
         return None
-    for what in found.damaged:
-        _log.error("lost", extra={"fields": {"folder": folder, "what": what}})
-    return store, found
+    for damage in loaded.damaged:
+        _log.error("lost", extra={"fields": {"folder": folder, "what": damage}})
+    return store, loaded
--- a/pointgw/validation.py
+++ b/pointgw/validation.py
@@ -34,9 +34,9 @@
 class InvalidFileError(Exception):
     """A file that can't be used. `problems` holds all that is wrong with it."""
 
-    def __init__(self, file: str, faults: list[InvalidValue]) -> None:
-        super().__init__("; ".join(fault.message(file) for fault in faults))
-        self.file, self.problems = file, faults
+    def __init__(self, file: str, problems: list[InvalidValue]) -> None:
+        super().__init__("; ".join(problem.message(file) for problem in problems))
+        self.file, self.problems = file, problems
 
 
 def read(path: Path, kind: type[T]) -> T:
@@ -47,51 +47,51 @@
 def read_toml(path: Path) -> dict[str, Any]:
     try:
         return tomllib.loads(path.read_text("utf-8"))
-    except OSError as fault:
+    except OSError as error:
         raise InvalidFileError(
-            str(path), [InvalidValue("", "", f"a file that can be read ({fault.strerror})")]
+            str(path), [InvalidValue("", "", f"a file that can be read ({error.strerror})")]
         ) from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as fault:
-        raise InvalidFileError(str(path), [InvalidValue("", "", f"TOML ({fault})")]) from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise InvalidFileError(str(path), [InvalidValue("", "", f"TOML ({error})")]) from None
 
 
 def convert(value: dict[str, Any], kind: type[T], file: str) -> T:
-    faults = list(_faults(value, kind, ""))
-    if faults:
-        raise InvalidFileError(file, faults)
-    made = msgspec.convert(value, kind)
+    problems = list(_field_errors(value, kind, ""))
+    if problems:
+        raise InvalidFileError(file, problems)
+    converted = msgspec.convert(value, kind)
     # What one key alone can't tell: a struct may have a method that looks at all of its keys.
-    faults = list(_whole(made, ""))
-    if faults:
-        raise InvalidFileError(file, faults)
-    return made
+    problems = list(_cross_field_errors(converted, ""))
+    if problems:
+        raise InvalidFileError(file, problems)
+    return converted
 
 
-def _faults(value: Any, kind: Any, path: str) -> Iterator[InvalidValue]:
+def _field_errors(value: Any, kind: Any, path: str) -> Iterator[InvalidValue]:
     struct = _struct_of(kind)
     if struct is None:
         try:
             msgspec.convert(value, kind)
-        except msgspec.ValidationError as fault:
-            yield InvalidValue(path, repr(value), _expected(str(fault)))
+        except msgspec.ValidationError as error:
+            yield InvalidValue(path, repr(value), _expected(str(error)))
     elif get_origin(kind) is list or get_origin(kind) is tuple:
         if not isinstance(value, list):
             yield InvalidValue(path, repr(value), "a list of tables")
             return
         for i, item in enumerate(value):
-            yield from _faults(item, struct, f"{path}[{i}]")
+            yield from _field_errors(item, struct, f"{path}[{i}]")
     elif not isinstance(value, dict):
         yield InvalidValue(path, repr(value), "a table")
     else:
         fields = {field.encode_name: field for field in msgspec.structs.fields(struct)}
         for name, inner in value.items():
-            at = f"{path}.{name}" if path else name
+            key = f"{path}.{name}" if path else name
             if name in fields:
-                yield from _faults(inner, fields[name].type, at)
+                yield from _field_errors(inner, fields[name].type, key)
             else:
-                near = get_close_matches(name, fields, 1, 0.5)
-                known = f"{near[0]!r}" if near else "one of " + ", ".join(fields)
-                yield InvalidValue(at, "", f"{known} (this key is not known)")
+                closest = get_close_matches(name, fields, 1, 0.5)
+                known = f"{closest[0]!r}" if closest else "one of " + ", ".join(fields)
+                yield InvalidValue(key, "", f"{known} (this key is not known)")
         for name, field in fields.items():
             if name not in value and field.required:
                 yield InvalidValue(f"{path}.{name}" if path else name, "", "a value, got nothing")
@@ -111,17 +111,17 @@
     return text.replace("Expected ", "").replace("`", "").replace("Invalid enum value", "a known word, not")
 
 
-def _whole(made: msgspec.Struct, path: str) -> Iterator[InvalidValue]:
-    check = getattr(made, "check", None)
+def _cross_field_errors(struct: msgspec.Struct, path: str) -> Iterator[InvalidValue]:
+    check = getattr(struct, "check", None)
     if check is not None:
         for name, value, expected in check():
             yield InvalidValue(f"{path}.{name}" if path else name, repr(value), expected)
-    for field in msgspec.structs.fields(made):
-        value = getattr(made, field.name)
-        at = f"{path}.{field.encode_name}" if path else field.encode_name
+    for field in msgspec.structs.fields(struct):
+        value = getattr(struct, field.name)
+        key = f"{path}.{field.encode_name}" if path else field.encode_name
         if isinstance(value, msgspec.Struct):
-            yield from _whole(value, at)
+            yield from _cross_field_errors(value, key)
         elif isinstance(value, list | tuple):
             for i, item in enumerate(value):
                 if isinstance(item, msgspec.Struct):
-                    yield from _whole(item, f"{at}[{i}]")
+                    yield from _cross_field_errors(item, f"{key}[{i}]")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 FILE = "KNOWN-RED.txt"
 
 
-def _listed(config: pytest.Config) -> tuple[known_red.Red, ...]:
+def _listed(config: pytest.Config) -> tuple[known_red.KnownRedTest, ...]:
     try:
         return known_red.read(Path(config.rootpath) / FILE)
     except ValueError as fault:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-MOST = 3
+MAX_LISTED = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Red:
+class KnownRedTest:
     """One listed test, by its node id."""
 
     test: str
@@ -21,7 +21,7 @@
     issue: str
 
 
-def read(path: Path) -> tuple[Red, ...]:
+def read(path: Path) -> tuple[KnownRedTest, ...]:
     """Raises ValueError on a line that is none, and on too many."""
     if not path.exists():
         return ()
@@ -33,7 +33,7 @@
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
             raise ValueError(f"{path.name}: expected 'test | cause | issue', got {line!r}")
-        listed.append(Red(*parts))
-    if len(listed) > MOST:
-        raise ValueError(f"{path.name}: expected {MOST} lines at most, got {len(listed)}")
+        listed.append(KnownRedTest(*parts))
+    if len(listed) > MAX_LISTED:
+        raise ValueError(f"{path.name}: expected {MAX_LISTED} lines at most, got {len(listed)}")
     return tuple(listed)
--- a/tests/test_fault_proxy.py
+++ b/tests/test_fault_proxy.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from pointgw import validation
-from pointgw.fault_proxy.proxy import FULL, FaultProxy
+from pointgw.fault_proxy.proxy import MAX_BUFFERED_BYTES, FaultProxy
 from pointgw.fault_proxy.schedule import Close, Forward, HalfClose, Schedule, Stall, Step, select_rules
 from pointgw.fault_proxy.script import Rule, Script
 
@@ -79,15 +79,15 @@
     steps = made.feed(b"a\nb\nc\n", 0.0)
     assert [round(s.delay, 3) for s in steps if isinstance(s, Forward)] == [0.1, 0.3, 0.5]
     made = schedule(Rule(act="end", after_seconds=2.0), Rule(act="stall", after_seconds=1.0, seconds=5.0))
-    assert made.due() == 1.0 and made.at(0.5) == []
-    assert made.at(1.2) == [Stall(5.0)] and made.due() == 2.0
-    assert made.at(2.0) == [Close(False)]
+    assert made.next_time() == 1.0 and made.advance(0.5) == []
+    assert made.advance(1.2) == [Stall(5.0)] and made.next_time() == 2.0
+    assert made.advance(2.0) == [Close(False)]
 
 
 def test_a_long_line_is_held_up_to_a_bound_only() -> None:
     made = schedule(Rule(act="double"))
     steps = made.feed(b"x" * 200_000, 0.0)
-    assert len(passed(steps)) > 100_000 and len(made.held) < 100_000
+    assert len(passed(steps)) > 100_000 and len(made.held_line) < 100_000
 
 
 def test_chance_takes_its_share_of_connections_and_the_same_ones_again() -> None:
@@ -219,9 +219,9 @@
     async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.5)
         (link,) = box.connections
-        assert link.near.transport is not None
-        assert link.down.pending <= 5 * FULL and not sent
-        assert link.near.transport.get_write_buffer_size() <= 5 * FULL
+        assert link.client.transport is not None
+        assert link.down.queued_bytes <= 5 * MAX_BUFFERED_BYTES and not sent
+        assert link.client.transport.get_write_buffer_size() <= 5 * MAX_BUFFERED_BYTES
 
     through(Script(), scene, flood)
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -91,7 +91,7 @@
 
 def newer() -> bytes:
     payload = msgspec.msgpack.encode(["whatever", "comes"])
-    return snapshot_format._head(snapshot_format.VERSION + 1, payload) + payload
+    return snapshot_format._header(snapshot_format.VERSION + 1, payload) + payload
 
 
 # Files.
