--- a/pointgw/state/__init__.py
+++ b/pointgw/state/__init__.py
@@ -1,6 +1,6 @@
-"""A memory that outlives the balancer: what it knew of its servers, kept on disk and weighed by its age.
+"""Snapshots on disk of what a balancer knows about its servers, and their use after a restart.
 
-`records` (what is kept), `snapshot_format` (bytes), `confidence`, `merge` and `restore` (what is believed) do
-no I/O; `snapshot_store` has the files, `snapshot_writer` decides when they are written. Off unless
-the operators' file has `[state]`; nothing of it is loaded then.
+`records` (stored types), `snapshot_format` (encoding), `confidence`, `merge` and `restore` (use of a
+snapshot) do no I/O; `snapshot_store` reads and writes files, `snapshot_writer` schedules the writes.
+Disabled, and not imported, unless the operators' file has a `[state]` section.
 """
--- a/pointgw/state/confidence.py
+++ b/pointgw/state/confidence.py
@@ -1,9 +1,9 @@
-"""How far an entry of the memory is believed, by its age. No I/O.
+"""Confidence in a stored server record, by its age. No I/O.
 
-An entry's trust falls by half in each usual life of a server of this roster, as servers seen to end tell it;
-before any has, `LIFE` is taken. Under `SURE` a server is doubted: nothing goes there until a probe was
-answered, or, where nothing else is ready, one tunnel at a time. What was told away has none, whatever its
-age.
+Confidence halves with each expected server lifetime, which is estimated from servers of this list that have
+left (`DEFAULT_LIFETIME_SECONDS` before any has). Below `TRUSTED_CONFIDENCE` a record is stale: its server
+gets no tunnel until it has answered a probe or, where no other server is available, one tunnel at a time. A
+server reported as leaving or left has no confidence, whatever the age of its record.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from pointgw.state.records import ServerLifetimes, ServerRecord, Snapshot
 
-FRESH_SECONDS = 30.0  # seconds in which an entry is as good as live: what a restart takes
-TRUSTED_CONFIDENCE = 0.5
-DEFAULT_LIFETIME_SECONDS = 86_400.0  # seconds that servers are taken to live, before any was seen to end
-FULL_HISTORY_COUNT = 8  # ends from which their own history counts alone
-MAX_CLOCK_SKEW_SECONDS = 1.0  # seconds that clocks may differ; an entry from further ahead has no age
+FRESH_SECONDS = 30.0  # age up to which a record has full confidence: the time that a restart takes
+TRUSTED_CONFIDENCE = 0.5  # lowest confidence of a trusted record
+DEFAULT_LIFETIME_SECONDS = 86_400.0  # expected lifetime of a server before any was observed
+FULL_HISTORY_COUNT = 8  # observed lifetimes from which the default no longer counts
+MAX_CLOCK_SKEW_SECONDS = 1.0  # a record from further in the future has no known age
 
 
 class RecordStatus(Enum):
-    """How an entry is used."""
+    """How a record is used after a restart."""
 
     TRUSTED = "trusted"
     STALE = "doubted"
@@ -28,7 +28,9 @@
 
 
 def expected_lifetime(lifetimes: ServerLifetimes) -> float:
-    """The usual life of a server, in seconds: its own history, mixed with `LIFE` while that is short."""
+    """Expected lifetime of a server in seconds: the observed mean, at least `FRESH_SECONDS`.
+
+    With fewer than `FULL_HISTORY_COUNT` observations the default makes up for the missing ones."""
     observed_count = min(lifetimes.ended_count, FULL_HISTORY_COUNT)
     observed_mean = lifetimes.total_seconds / lifetimes.ended_count if lifetimes.ended_count else 0.0
     return max(
@@ -39,20 +41,21 @@
 
 
 def confidence(record: ServerRecord, lifetimes: ServerLifetimes, now: float) -> float:
-    """From 0 to 1."""
+    """Confidence in a record at time `now`, from 0 to 1."""
     if record.is_inactive:
         return 0.0
     age = now - max(
         record.confirmed_at, record.seen_at if record.seen_at <= now + MAX_CLOCK_SKEW_SECONDS else 0.0
     )
     if age < -MAX_CLOCK_SKEW_SECONDS:
-        return 0.0  # guards against a clock that has jumped back: its age is not known
+        return 0.0  # guards against a clock that was set back: the age is not known
     if age <= FRESH_SECONDS:
         return 1.0
     return float(2.0 ** -((age - FRESH_SECONDS) / expected_lifetime(lifetimes)))
 
 
 def record_status(record: ServerRecord, lifetimes: ServerLifetimes, now: float) -> RecordStatus:
+    """How a record is used at time `now`."""
     if record.is_inactive:
         return RecordStatus.INACTIVE
     return (
@@ -63,11 +66,11 @@
 
 
 def is_same_process(snapshot: Snapshot, record: ServerRecord, boot_id: str, now: float) -> bool:
-    """Whether a server may be taken for the process it was, and not for one started since.
+    """Whether a server is presumed to be the recorded process, not one started since.
 
-    A name outlives an outage, warmth does not. It is believed where the memory is as fresh as a restart
-    leaves it and this machine has run on: then the balancer alone was away. Where the machine was off, others
-    may have been. A clean stop tells nothing of what came after it."""
+    A restarted server keeps its name but is cold. The process is presumed the same if the snapshot is at most
+    `FRESH_SECONDS` old and this machine has not rebooted, as then only the balancer was down. If the machine
+    was off, servers may have been off too. A clean stop tells nothing about what followed it."""
     age = now - snapshot.written_at
     same_boot = bool(boot_id) and boot_id == snapshot.boot_id
     return (
--- a/pointgw/state/merge.py
+++ b/pointgw/state/merge.py
@@ -1,8 +1,8 @@
-"""What holds when several sources tell of the same servers: one pure join, whatever their order. No I/O.
+"""Merges server records of several sources. No I/O.
 
-For one server, of two facts: the one of the later process wins; of the same process the one that tells it
-away, as no merge may bring a drained server back; else the one confirmed later. `left` goes before `leaving`.
-It is a join (idempotent, commutative, associative), so the order of arrival changes nothing.
+Of two records of one server, that of the later process wins. For the same process, `left` wins over `leaving`
+and `leaving` over `active`, as no merge may bring a drained server back; otherwise the one confirmed later
+wins. This is a join (idempotent, commutative, associative), so the order of arrival doesn't matter.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 def join_records(one: ServerRecord, other: ServerRecord) -> ServerRecord:
-    """The fact that holds of two about the same server."""
+    """The join of two records of the same server."""
     winner = max(one, other, key=_precedence)
     seen_at = max(one.seen_at, other.seen_at) if one.started_at == other.started_at else winner.seen_at
     return _with_seen_at(winner, seen_at)
 
 
 def _precedence(record: ServerRecord) -> tuple[object, ...]:
-    """The rest of the fields only decide where all else is equal, so that the order never does."""
+    """Sort key of a record; the fields after `confirmed_at` only make ties independent of the order."""
     return (
         record.started_at, STATE_RANK[record.state], record.confirmed_at, record.host,
         record.port, record.zone, record.kind, record.cell, record.weight,
@@ -39,7 +39,7 @@
 
 
 def merge(*sources: Iterable[ServerRecord]) -> dict[str, ServerRecord]:
-    """What holds of each server, by name; sorted, so that equal contents are equal in order too."""
+    """The join of all records of each server, by name; sorted, so that equal contents have equal order."""
     merged: dict[str, ServerRecord] = {}
     for source in sources:
         for record in source:
--- a/pointgw/state/records.py
+++ b/pointgw/state/records.py
@@ -1,4 +1,4 @@
-"""What is kept. Times are seconds of the time of day, as all machines read one clock."""
+"""Stored types. Times are wall-clock seconds since the epoch, as all machines share one clock."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class Struct(msgspec.Struct, frozen=True, array_like=True):
-    """Written as an array: short, and later fields may be added at the end."""
+    """Base of the stored types, encoded as an array: compact; new fields may be added at the end."""
 
 
 class ServerRecord(Struct, frozen=True, array_like=True):
-    """What was told of one server, and when that was last confirmed."""
+    """What discovery reported about one server, and when this was last confirmed."""
 
     name: str
     state: ServerState
-    started_at: float  # of its process, as told; 0: long ago
-    confirmed_at: float  # when discovery last confirmed it, or told it away
+    started_at: float  # start of its process as reported; 0: long ago
+    confirmed_at: float  # when discovery last confirmed it, or reported it leaving or left
     host: str = ""
     port: int = 0
     zone: int = -1
@@ -31,54 +31,55 @@
 
     @property
     def is_inactive(self) -> bool:
+        """Whether the server was reported as leaving or left."""
         return self.state != "active"
 
 
 class ServerHealth(Struct, frozen=True, array_like=True):
-    """What own traffic taught of one server."""
+    """Ejection and slow-start state of one server, from own traffic."""
 
     name: str
-    started_at: float  # of the process that it is about
+    started_at: float  # start of the process that this describes
     recent_failures: int
-    ejected_until: float  # suspended until then
-    slow_start_budget: float  # tunnels that it might still get while cold
+    ejected_until: float  # end of its ejection
+    slow_start_budget: float  # tunnels that it may still get while cold
     budget_updated_at: float
 
 
 class LearnedFigures(Struct, frozen=True, array_like=True):
-    """What the decisions learned of the whole."""
+    """Estimates that the policy has learned about all servers."""
 
     c: float
     load_per_tunnel: float
     arrival_rate: float
-    unused_time: float  # of forms written before; they told what a tunnel's life is
+    unused_time: float  # `unused_*`: tunnel lifetimes in older snapshots; they keep the field order
     unused_count: int
     slow_start_rate: float
 
 
 class ServerLifetimes(Struct, frozen=True, array_like=True):
-    """How long servers of this roster have lived: what their entries' age is weighed against."""
+    """Observed lifetimes of servers of this list, to which the age of a record is compared."""
 
     ended_count: int = 0
-    total_seconds: float = 0.0  # seconds
+    total_seconds: float = 0.0
 
 
 class Snapshot(Struct, frozen=True, array_like=True):
-    """All of it, as one generation holds it."""
+    """The contents of one generation."""
 
-    fingerprint: str  # of the installation
+    fingerprint: str  # of the installation, see `installation_fingerprint`
     written_at: float
-    index: int | None  # the list's version, and
-    discovery: str  # which discovery it belongs to
-    clean_stop: bool  # written at a stop in order
+    index: int | None  # version of the server list
+    discovery: str  # HOST:PORT of the discovery that `index` belongs to
+    clean_stop: bool  # written at a regular stop
     servers: tuple[ServerRecord, ...]
     health: tuple[ServerHealth, ...] = ()
     learned: LearnedFigures | None = None
     lifetimes: ServerLifetimes = ServerLifetimes()
-    boot_id: str = ""  # of the machine, from one power-on to the next; nothing: not known
+    boot_id: str = ""  # differs after each boot of the machine; empty: not known
 
 
 def installation_fingerprint(zones: tuple[str, ...], profiles: tuple[str, ...]) -> str:
-    """Tells one installation's memory from another's."""
+    """Identifies an installation by its zones and profiles, to reject snapshots of another one."""
     text = "\n".join(("zones", *zones, "profiles", *profiles))
     return blake2b(text.encode(), digest_size=8).hexdigest()
--- a/pointgw/state/restore.py
+++ b/pointgw/state/restore.py
@@ -1,8 +1,8 @@
-"""From a memory to what a balancer starts with, and back. No I/O.
+"""Derives a balancer's initial state from a snapshot, and the records of the next snapshot. No I/O.
 
-`RestoredState` is what the start-up file's list and the memory give together. `MembershipView` is kept
-beside the reducer: it hears every list, keeps what was told away and when each entry was confirmed, and holds
-lists of discovery against that.
+`RestoredState` combines the start-up file's list with the snapshot. `MembershipView` is kept beside the
+reducer: it receives every list of discovery, keeps which servers were leaving or left and when each record
+was confirmed, and corrects lists that contradict this.
 """
 
 from __future__ import annotations
@@ -18,23 +18,20 @@
 from pointgw.state.merge import join_records, merge
 from pointgw.state.records import LearnedFigures, ServerHealth, ServerLifetimes, ServerRecord, Snapshot
 
-INACTIVE_RETENTION_SECONDS = (
-    7 * 86_400.0
-)  # seconds that a server told away is remembered, if nothing was heard of it
-MAX_RECORDS = 50_000  # facts that are kept; the oldest of those told away go first
+INACTIVE_RETENTION_SECONDS = 7 * 86_400.0  # since the last report of a leaving or left server
+MAX_RECORDS = 50_000  # in a snapshot; the oldest of leaving and left servers are dropped first
 
 
 @dataclass(slots=True)
 class MembershipView:
-    """What is known of each server, with its age."""
+    """What is known about each server, and since when."""
 
     records: dict[str, ServerRecord] = field(default_factory=dict)
     lifetimes: ServerLifetimes = field(default_factory=ServerLifetimes)
-    change_count: int = 0  # changes so far
-    inactive_before_start: dict[str, ServerRecord] = field(
-        default_factory=dict
-    )  # told away before this start, not up again since
-    discovery_answered_at: float = 0.0  # when discovery last answered
+    change_count: int = 0  # changes of a server's state or process so far
+    # leaving or left before this start, and no later process listed since
+    inactive_before_start: dict[str, ServerRecord] = field(default_factory=dict)
+    discovery_answered_at: float = 0.0
 
     def apply_list(
         self,
@@ -43,9 +40,10 @@
         is_full: bool,
         now: float,
     ) -> list[ServerEntry]:
-        """A list of discovery, or changes; gives it as the decisions may take it.
+        """Applies a full list or an update of discovery; returns the entries that the policy is to use.
 
-        A line that says up again of a process told away before the start is taken as leaving: rule 3 wins.
+        An entry that lists as active a process that was leaving or left before the start is returned as
+        leaving, so that rule 3 holds.
         """
         self.confirm_listed(now)
         address_of = {name: (host, port) for name, host, port in addresses}
@@ -53,7 +51,7 @@
         listed: set[str] = set()
         for entry in entries:
             known = self.records.get(entry.server)
-            # A line that tells a server away may not tell when its process started: it is the one known.
+            # An entry that is leaving or left may lack its process's start time; the known one stays.
             started_at = entry.started_at
             if entry.state != "active" and known is not None:
                 started_at = max(started_at, known.started_at)
@@ -93,17 +91,17 @@
         self.records[record.name] = record
 
     def confirm_listed(self, now: float) -> None:
-        """Discovery has told what is new, or that nothing is: all else that it listed stands."""
+        """Records an answer of discovery, which confirms all servers that it has listed as active."""
         self.discovery_answered_at = now
 
     def confirm_alive(self, name: str, now: float) -> None:
-        """Own traffic has shown a server alive; told to the second."""
+        """Records that own traffic has shown a server alive, at most once a second."""
         record = self.records.get(name)
         if record is not None and not record.is_inactive and now - record.seen_at > 1.0:
             self.records[name] = msgspec.structs.replace(record, seen_at=now)
 
     def snapshot_records(self, now: float) -> tuple[ServerRecord, ...]:
-        """What goes into the memory: bounded, and without what was told away long ago."""
+        """Records for a snapshot: at most `MAX_RECORDS`, none inactive for `INACTIVE_RETENTION_SECONDS`."""
         records = [
             msgspec.structs.replace(f, confirmed_at=max(f.confirmed_at, self.discovery_answered_at))
             if not f.is_inactive
@@ -118,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredState:
-    """What a balancer starts with."""
+    """The state that a balancer starts with."""
 
     membership: MembershipView
     entries: tuple[ServerEntry, ...]
@@ -126,32 +124,32 @@
     stale: frozenset[str]
     health: tuple[ServerHealth, ...]
     learned: LearnedFigures | None
-    status_counts: dict[str, int]  # of each standing
-    age_seconds: float  # seconds since it was written; under 0: from ahead of the clock
+    status_counts: dict[str, int]  # by value of `RecordStatus`
+    age_seconds: float  # of the snapshot; negative if it was written in the future by this clock
     clean_stop: bool
-    same_process: frozenset[str] = frozenset()  # servers that are taken to be the processes they were
+    same_process: frozenset[str] = frozenset()  # servers presumed to be the recorded processes
 
 
 def records_from_list(
     entries: Iterable[ServerEntry], addresses: Iterable[tuple[str, str, int]]
 ) -> list[ServerRecord]:
-    """The start-up file's list as facts. It may be old, and doesn't tell how old: nothing confirms it."""
+    """The start-up file's list as records. They count as unconfirmed, as the list's age isn't known."""
     address_of = {name: (host, port) for name, host, port in addresses}
     return [
         ServerRecord(
-            line.server, line.state, line.started_at, 0.0, *address_of.get(line.server, ("", 0)), line.zone,
-            line.kind, line.cell, line.weight,
+            entry.server, entry.state, entry.started_at, 0.0, *address_of.get(entry.server, ("", 0)),
+            entry.zone, entry.kind, entry.cell, entry.weight,
         )
-        for line in entries
+        for entry in entries
     ]  # fmt: skip
 
 
 def restore(
     snapshot: Snapshot, listed: Iterable[ServerRecord], fingerprint: str, now: float, boot_id: str = ""
 ) -> RestoredState | None:
-    """What holds by the memory and the start-up file together; None: it is another installation's.
+    """Combines a snapshot with the start-up file's list; None if the snapshot is another installation's.
 
-    The start-up file's list adds servers, which are doubted, and brings none back. `run`: the machine's, now.
+    Servers that only the list has are added as stale; it reactivates none. `boot_id`: of the machine, now.
     """
     if snapshot.fingerprint != fingerprint:
         return None
@@ -185,7 +183,7 @@
     membership = MembershipView(
         dict(records),
         snapshot.lifetimes,
-        inactive_before_start={n: f for n, f in records.items() if f.is_inactive},
+        inactive_before_start={name: r for name, r in records.items() if r.is_inactive},
     )
     return RestoredState(
         membership, tuple(entries), tuple(addresses), frozenset(stale), snapshot.health, snapshot.learned,
@@ -194,19 +192,19 @@
 
 
 def rows(snapshot: Snapshot, now: float) -> list[dict[str, object]]:
-    """Each entry, its age and trust, and why it would or would not be used."""
+    """Each record with its age, confidence, status and the reason, for `pointgw state show`."""
     why = {
-        RecordStatus.TRUSTED: "used like a live one",
+        RecordStatus.TRUSTED: "used as if listed now",
         RecordStatus.STALE: "used once a probe has answered",
-        RecordStatus.INACTIVE: "told away: not used until discovery tells of a later start",
+        RecordStatus.INACTIVE: "reported leaving or left: not used until discovery lists a later process",
     }
     return [
         {
-            "server": fact.name, "state": fact.state,
-            "age": round(now - max(fact.confirmed_at, fact.seen_at), 1),
-            "trust": round(confidence(fact, snapshot.lifetimes, now), 3),
-            "standing": record_status(fact, snapshot.lifetimes, now).value,
-            "why": why[record_status(fact, snapshot.lifetimes, now)],
+            "server": record.name, "state": record.state,
+            "age": round(now - max(record.confirmed_at, record.seen_at), 1),
+            "trust": round(confidence(record, snapshot.lifetimes, now), 3),
+            "standing": record_status(record, snapshot.lifetimes, now).value,
+            "why": why[record_status(record, snapshot.lifetimes, now)],
         }
-        for fact in snapshot.servers
+        for record in snapshot.servers
     ]  # fmt: skip
--- a/pointgw/state/snapshot_format.py
+++ b/pointgw/state/snapshot_format.py
@@ -1,9 +1,8 @@
-"""A memory as bytes: a line that tells what it is, a digest, and MessagePack. Pure.
+"""Encodes a snapshot: a header line with a digest, then MessagePack. No I/O.
 
     pointgw-state VERSION DIGEST LENGTH LF payload
 
-The digest covers the version, the length and the payload, so that a flipped bit anywhere is damage and not a
-fact.
+The digest covers the version, the length and the payload, so that a flipped bit anywhere is detected.
 """
 
 from __future__ import annotations
@@ -16,22 +15,23 @@
 
 MAGIC = b"pointgw-state"
 VERSION = 1
-MAX_HEADER_BYTES = 100  # bytes of the first line
-MAX_FILE_BYTES = 64 * 1024 * 1024  # bytes of a generation
+MAX_HEADER_BYTES = 100  # of the first line
+MAX_FILE_BYTES = 64 * 1024 * 1024  # of a generation
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Snapshot)
 
 
 class DamagedSnapshotError(Exception):
-    """Bytes that are no sound memory; its text says in what."""
+    """Bytes that are not a valid snapshot; the text says why."""
 
 
 class NewerVersionError(Exception):
-    """Written by a later version of this program. It is left untouched."""
+    """A snapshot in a later format than this program reads. It is left untouched."""
 
 
 def encode(snapshot: Snapshot) -> bytes:
+    """The bytes of a generation."""
     payload = _encoder.encode(snapshot)
     return _header(VERSION, payload) + payload
 
@@ -43,20 +43,20 @@
 
 
 def decode(data: bytes) -> Snapshot:
-    """Raises `DamagedSnapshotError` or `NewerVersionError`."""
+    """The snapshot in the bytes of a generation. Raises `DamagedSnapshotError` or `NewerVersionError`."""
     if not data:
         raise DamagedSnapshotError("empty")
     header, newline, payload = data[:MAX_HEADER_BYTES].partition(b"\n")
     words = header.split(b" ")
     if not newline or len(words) != 4 or words[0] != MAGIC or not words[1].isdigit():
-        raise DamagedSnapshotError("not a file of pointgw's")
+        raise DamagedSnapshotError("not a pointgw snapshot")
     version = int(words[1])
     payload = data[len(header) + 1 :]
     if _header(version, payload) != data[: len(header) + 1]:
-        raise DamagedSnapshotError("cut off or changed")
+        raise DamagedSnapshotError("truncated or altered")
     if version > VERSION:
-        raise NewerVersionError(f"version {version}, this program reads up to {VERSION}")
+        raise NewerVersionError(f"format version {version}, this program reads up to {VERSION}")
     try:
         return _decoder.decode(payload)
     except msgspec.DecodeError as error:
-        raise DamagedSnapshotError(f"sound, but not of this form: {error}") from None
+        raise DamagedSnapshotError(f"digest is correct, but the payload is not a snapshot: {error}") from None
--- a/pointgw/state/snapshot_store.py
+++ b/pointgw/state/snapshot_store.py
@@ -1,8 +1,8 @@
-"""Whole files in generations: each is written aside, made durable, and only then given its name.
+"""Stores snapshots as numbered files (generations), each synced under a temporary name and then renamed.
 
-A crash at any byte leaves the generation before it, which is kept until the one after the next. The folder is
-held by one process at a time. All calls block: they belong on a thread of their own. `step` is called before
-each call of the system that writes, so that tests can die there.
+After a crash at any byte the generation before it is intact; the last `KEPT_GENERATIONS` are kept. One
+process at a time has the folder. All calls block and belong on a thread of their own. `before_step` is called
+before each system call that writes, so that tests can simulate a crash there.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 from pointgw.state.records import Snapshot
 from pointgw.state.snapshot_format import MAX_FILE_BYTES, DamagedSnapshotError, NewerVersionError, decode
 
-KEPT_GENERATIONS = 2  # generations
+KEPT_GENERATIONS = 2
 FILE_PREFIX, TEMPORARY_NAME, LOCK_NAME = "state.", "state-new", "owner"
 FILE_MODE = 0o600
 
 
 class FolderInUseError(Exception):
-    """Another process has the folder; its text names it."""
+    """Another process has the folder; the text names the process."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What a folder held."""
+    """The result of reading a folder."""
 
     snapshot: Snapshot | None
     generation: int  # 0: none
-    damaged: tuple[str, ...]  # generations that are damaged, each with why
+    damaged: tuple[str, ...]  # file names of damaged generations, each with the reason
 
 
 class SnapshotStore:
-    """One folder. `claim` before `save`; `load` needs no claim."""
+    """The snapshots of one folder. `save` needs `claim` first; `load` doesn't."""
 
     def __init__(self, folder: str, before_step: Callable[[str], None] = lambda name: None) -> None:
         self.folder, self.before_step = folder, before_step
@@ -44,7 +44,7 @@
         self.lock_descriptor = -1
 
     def claim(self, owner: str) -> None:
-        """Raises `FolderInUseError`, or OSError where the folder can't be used."""
+        """Locks the folder, creating it if missing. Raises `FolderInUseError`, or OSError if unusable."""
         os.makedirs(self.folder, mode=0o700, exist_ok=True)
         folder = self._open_folder()
         try:
@@ -63,13 +63,15 @@
         self.lock_descriptor = lock
 
     def release(self) -> None:
+        """Unlocks the folder."""
         if self.lock_descriptor >= 0:
             os.close(self.lock_descriptor)
             self.lock_descriptor = -1
 
     def load(self) -> LoadResult:
-        """The newest sound generation. Raises `NewerVersionError`; a folder that isn't there holds
-        nothing."""
+        """Reads the newest valid generation; a missing folder has none.
+
+        Raises `NewerVersionError`, or OSError if the folder is unusable."""
         damaged: list[str] = []
         try:
             folder = self._open_folder()
@@ -90,7 +92,7 @@
         return LoadResult(None, 0, tuple(damaged))
 
     def save(self, data: bytes) -> int:
-        """Makes a generation durable; gives the bytes written. Raises OSError: the ones before stay."""
+        """Writes and syncs a new generation; returns its bytes. Older ones stay if it raises OSError."""
         folder = self._open_folder()
         try:
             with suppress(FileNotFoundError):
@@ -116,7 +118,7 @@
             for old in self._generations(folder):
                 if old <= generation - KEPT_GENERATIONS:
                     self.before_step("unlink")
-                    with suppress(OSError):  # what was saved is durable; the next save tries again
+                    with suppress(OSError):  # the new generation is already synced; the next save tries again
                         os.unlink(f"{FILE_PREFIX}{old}", dir_fd=folder)
         finally:
             os.close(folder)
@@ -136,7 +138,7 @@
         try:
             status = os.fstat(file)
             if not stat.S_ISREG(status.st_mode) or status.st_size > MAX_FILE_BYTES:
-                raise DamagedSnapshotError("not a plain file of a size that was ever written")
+                raise DamagedSnapshotError("not a regular file, or too large")
             parts = []
             while part := os.read(file, 1 << 20):
                 parts.append(part)
--- a/pointgw/state/snapshot_writer.py
+++ b/pointgw/state/snapshot_writer.py
@@ -1,7 +1,7 @@
-"""When the memory is written: news of the roster within a second, figures within ten, bounded bytes a second.
+"""Schedules snapshots: a change of servers within 1 s, other state within 10 s, bounded bytes a second.
 
-The loop only takes the memory and hands it to one thread; a write that hangs holds the next one, never
-the loop.
+The event loop only takes the snapshot and passes it to one thread; a write that hangs delays the next one,
+never the loop.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from pointgw.state.snapshot_format import NewerVersionError, encode
 from pointgw.state.snapshot_store import FolderInUseError, LoadResult, SnapshotStore
 
-CHANGE_INTERVAL_SECONDS = 1.0  # seconds within which news of the roster is durable
-REGULAR_INTERVAL_SECONDS = 10.0
-CHECK_INTERVAL_SECONDS = 0.25  # seconds between two looks for news
-MAX_BYTES_PER_SECOND = 1_000_000  # written at most, on the mean: larger memories are written less often
-FINAL_WRITE_TIMEOUT_SECONDS = 0.08  # seconds that the last write has when the balancer stops
+CHANGE_INTERVAL_SECONDS = 1.0  # within which a change of servers is written
+REGULAR_INTERVAL_SECONDS = 10.0  # within which a snapshot is written without any change
+CHECK_INTERVAL_SECONDS = 0.25  # between two checks for changes
+MAX_BYTES_PER_SECOND = 1_000_000  # on average: larger snapshots are written less often
+FINAL_WRITE_TIMEOUT_SECONDS = 0.08  # for the write when the balancer stops
 
 _log = logging.getLogger("pointgw.state")
 
 
 class WriterThread:
-    """One thread for calls that block. The process ends without it: a disk that hangs holds up no stop."""
+    """A daemon thread for blocking calls, so that a disk that hangs doesn't delay the end of the process."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -36,7 +36,7 @@
         self.thread: threading.Thread | None = None
 
     def submit(self, job: Callable[[], int]) -> asyncio.Future[int]:
-        """Its result, or the exception that it raised."""
+        """Queues a job; the future gives its result or the exception that it raised."""
         future: asyncio.Future[int] = self.loop.create_future()
         if self.thread is None:
             self.thread = threading.Thread(target=self._run, name="pointgw-state", daemon=True)
@@ -51,7 +51,7 @@
                 result: int | Exception = job()
             except Exception as error:
                 result = error
-            with suppress(RuntimeError):  # the loop has been closed meanwhile
+            with suppress(RuntimeError):  # the loop was closed meanwhile
                 self.loop.call_soon_threadsafe(self._resolve, future, result)
 
     @staticmethod
@@ -66,18 +66,18 @@
 
 @dataclass(slots=True)
 class WriterStats:
-    """What keeping the memory has cost."""
+    """Counters of a `SnapshotWriter`."""
 
-    write_count: int = 0  # generations
-    bytes_written: int = 0  # bytes
+    write_count: int = 0
+    bytes_written: int = 0
     failure_count: int = 0
 
 
 class SnapshotWriter:
-    """Writes what `take` gives, as long as the balancer runs.
+    """Writes snapshots as long as the balancer runs.
 
-    `take(clean)` is called on the loop and gives the memory as it stands; `news()` counts changes of the
-    roster.
+    `take_snapshot(clean_stop)` is called on the loop and returns the current snapshot; `change_count()` is
+    the number of changes of servers so far.
     """
 
     def __init__(
@@ -95,16 +95,15 @@
         )
         self.thread = WriterThread(loop)
         self.stats = WriterStats()
-        self.saved_change_count = -1  # the news that the latest memory holds
+        self.saved_change_count = -1  # `change_count()` at the latest snapshot; -1 if its write failed
         self.next_change_write = self.next_regular_write = loop.time()
         self.pending_write: asyncio.Future[int] | None = None
-        self.is_failing = False  # the latest write failed, which was said once
+        self.is_failing = False  # the latest write failed, which is logged once
         self.timer = loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
 
     def _check(self) -> None:
-        self.timer = self.loop.call_later(
-            CHECK_INTERVAL_SECONDS, self._check
-        )  # first: a error below must not end the chain
+        # Set first, so that an exception below doesn't end the checks.
+        self.timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
         now = self.loop.time()
         due = now >= self.next_regular_write or (
             self.change_count() != self.saved_change_count and now >= self.next_change_write
@@ -129,7 +128,7 @@
         return self.pending_write
 
     def _save(self, snapshot: Snapshot) -> int:
-        """On the thread."""
+        """Called on the thread."""
         return self.store.save(encode(snapshot))
 
     def _write_done(self, write: asyncio.Future[int]) -> None:
@@ -142,17 +141,17 @@
             self.stats.bytes_written += write.result()
             if self.is_failing:
                 self.is_failing = False
-                _log.info("written again", extra={"fields": {"folder": self.store.folder}})
+                _log.info("snapshot written again", extra={"fields": {"folder": self.store.folder}})
             return
         self.stats.failure_count += 1
-        self.saved_change_count = -1  # news that is not durable is news still
+        self.saved_change_count = -1  # the changes are still to be written
         if not self.is_failing:
             self.is_failing = True
             why = f"{type(error).__name__} {error}"
-            _log.error("not written", extra={"fields": {"folder": self.store.folder, "why": why}})
+            _log.error("snapshot not written", extra={"fields": {"folder": self.store.folder, "why": why}})
 
     async def stop(self, clean_stop: bool) -> None:
-        """The last write, if the disk takes it in time; the balancer doesn't wait longer."""
+        """Stops with a final write, and waits for it for at most `FINAL_WRITE_TIMEOUT_SECONDS`."""
         self.timer.cancel()
         try:
             async with asyncio.timeout(FINAL_WRITE_TIMEOUT_SECONDS):
@@ -161,31 +160,30 @@
                 await asyncio.shield(self._write(clean_stop))
         except (TimeoutError, OSError) as error:
             fields = {"folder": self.store.folder, "why": f"{type(error).__name__} {error}".strip()}
-            _log.warning("last write late", extra={"fields": fields})
-        if (
-            self.pending_write is None or self.pending_write.done()
-        ):  # else the folder stays claimed until the process has ended
+            _log.warning("final snapshot write late", extra={"fields": fields})
+        # With a write pending, the folder stays locked until the process has ended.
+        if self.pending_write is None or self.pending_write.done():
             self.store.release()
 
 
 def open_store(folder: str, owner: str) -> tuple[SnapshotStore, LoadResult] | None:
-    """Claims a folder and reads it. None, and one line of the log, where it can't be used."""
+    """Locks and reads a folder. Returns None after logging the reason if the folder can't be used."""
     store = SnapshotStore(folder)
     try:
         store.claim(owner)
         loaded = store.load()
     except NewerVersionError as error:
         store.release()
-        _log.error("left untouched", extra={"fields": {"folder": folder, "why": str(error)}})
+        _log.error("snapshot left untouched", extra={"fields": {"folder": folder, "why": str(error)}})
         return None
     except FolderInUseError as error:
-        _log.error("held by another", extra={"fields": {"folder": folder, "by": str(error)}})
+        _log.error("state folder in use", extra={"fields": {"folder": folder, "by": str(error)}})
         return None
     except OSError as error:
         store.release()
         why = f"{type(error).__name__} {error}"
-        _log.error("not usable", extra={"fields": {"folder": folder, "why": why}})
+        _log.error("state folder not usable", extra={"fields": {"folder": folder, "why": why}})
         return None
     for damage in loaded.damaged:
-        _log.error("lost", extra={"fields": {"folder": folder, "what": damage}})
+        _log.error("snapshot damaged", extra={"fields": {"folder": folder, "what": damage}})
     return store, loaded
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -196,7 +196,7 @@
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
     assert SnapshotRunner.create(str(tmp_path), started()) is None
     assert before["state.3"] == (tmp_path / "state.3").read_bytes()
-    assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == ["left untouched"]
+    assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == ["snapshot left untouched"]
 
 
 # When it is written.
@@ -267,7 +267,9 @@
     keeper, _ = keeping(tmp_path, step, scene, lambda: next(count))
     said = [record.getMessage() for record in caplog.records if record.name == "pointgw.state"]
     # On a machine whose disk is slow just then the last write may be late, which is said too.
-    assert said[:2] == ["not written", "written again"] and set(said[2:]) <= {"last write late"}
+    assert said[:2] == ["snapshot not written", "snapshot written again"] and set(said[2:]) <= {
+        "final snapshot write late"
+    }
     assert keeper.stats.failure_count >= 2
     assert SnapshotStore(str(tmp_path)).load().snapshot is not None
 
@@ -283,7 +285,7 @@
 
     keeper, _ = keeping(tmp_path / "s", lambda name: None, scene, lambda: next(count))
     assert keeper.stats.failure_count >= 1
-    assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == ["not written"]
+    assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == ["snapshot not written"]
 
 
 def test_writes_are_bounded_however_often_the_list_changes(tmp_path: Path) -> None:
@@ -555,7 +557,7 @@
         store.save(snapshot_format.encode(told))
     assert main(["state", "show", folder]) == 0
     shown = capfd.readouterr().out
-    assert "s-1" in shown and "trusted" in shown and "told away" in shown
+    assert "s-1" in shown and "trusted" in shown and "leaving or left" in shown
     assert main(["state", "export", folder]) == 0
     (tmp_path / "s" / "state.2").write_bytes(b"")
     assert main(["state", "show", "--json", folder]) == 1
