--- a/pointgw/operators.py
+++ b/pointgw/operators.py
@@ -1,6 +1,6 @@
-"""The operators' own file: one section a subsystem, each absent = off and not imported.
+"""The operators' file, in TOML. Each section enables a subsystem; one without its section isn't imported.
 
-Named by `--operator` or `$GW_OPERATOR`; without it nothing here is loaded. SIGHUP reads it again.
+The file is named by `--operator` or `$GW_OPERATOR`; without it this module isn't imported. SIGHUP reloads it.
 """
 
 from __future__ import annotations
@@ -14,54 +14,56 @@
 
 
 class LogSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the log says."""
+    """Settings of the log."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
-    state_every: Annotated[float, msgspec.Meta(ge=0.1, le=3600.0)] = 10.0  # seconds between two state lines
+    state_every: Annotated[float, msgspec.Meta(ge=0.1, le=3600.0)] = 10.0  # seconds between state lines
 
 
 class StateSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A memory that outlives the balancer."""
+    """Snapshots on disk, from which a balancer restores its state after a restart."""
 
-    folder: Annotated[str, msgspec.Meta(min_length=1)]  # this balancer's own, on a disk that lasts
-    boot: str = "/proc/sys/kernel/random/boot_id"  # a file that is another after each power-on
+    folder: Annotated[str, msgspec.Meta(min_length=1)]  # of this balancer alone, on a persistent disk
+    boot: str = "/proc/sys/kernel/random/boot_id"  # a file whose content differs after each boot
 
 
 class LinkSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is between two regions."""
+    """The connection between two regions."""
 
     between: Annotated[tuple[str, ...], msgspec.Meta(min_length=2, max_length=2)]
-    cost: Annotated[float, msgspec.Meta(ge=0.0, le=1000.0)] = 1.0  # nearer ones are used first
-    delay: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 0.0  # seconds that a setup takes longer over it
+    cost: Annotated[float, msgspec.Meta(ge=0.0, le=1000.0)] = 1.0  # regions of lower cost are used first
+    delay: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 0.0  # seconds that it adds to a setup
 
 
 class TierSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Balancers that know of each other, and decide together where a zone's traffic goes."""
+    """Cluster of balancers that decide together where a zone's traffic goes."""
 
-    peers: tuple[str, ...] = ()  # HOST:PORT of all balancers by number; none: the start-up file's
-    listen: str = ""  # HOST:PORT; nothing: the start-up file's
-    key_file: str = ""  # one or two keys in hex, a line each, mode 600; nothing: unsigned, on loopback alone
-    regions: dict[str, tuple[str, ...]] = {}  # zones by region; those that none names are one more
-    ways: tuple[LinkSection, ...] = ()  # between regions; those that none names cost 1
-    evacuate: tuple[str, ...] = ()  # zones that are to be emptied
-    period: Annotated[float, msgspec.Meta(ge=0.05, le=60.0)] = 0.25  # seconds between two pings
-    datagrams: Annotated[float, msgspec.Meta(ge=10.0, le=1e6)] = 80.0  # sent a second, at most
-    bytes: Annotated[float, msgspec.Meta(ge=2560.0, le=1e9)] = 16_000.0  # sent a second, at most
-    status: str = ""  # a file that tells how things stand, for `pointgw tier show`
+    peers: tuple[str, ...] = ()  # HOST:PORT of all balancers by number; empty: those of the start-up file
+    listen: str = ""  # HOST:PORT; empty: that of the start-up file
+    key_file: str = ""  # one or two keys in hex, one a line, mode 600; empty: unsigned, loopback only
+    regions: dict[str, tuple[str, ...]] = {}  # zones by region; unnamed zones form another region
+    ways: tuple[LinkSection, ...] = ()  # connections between regions; unnamed ones cost 1
+    evacuate: tuple[str, ...] = ()  # zones from which all traffic is to be moved
+    period: Annotated[float, msgspec.Meta(ge=0.05, le=60.0)] = 0.25  # seconds between pings
+    datagrams: Annotated[float, msgspec.Meta(ge=10.0, le=1e6)] = 80.0  # sent per second at most
+    bytes: Annotated[float, msgspec.Meta(ge=2560.0, le=1e9)] = 16_000.0  # sent per second at most
+    status: str = ""  # path of the status file for `pointgw tier show`; empty: none
 
 
 class RecoverySection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How a fleet fills again. Nothing is taken over from `[tier]`, but its socket where that is on."""
+    """Slow start of the whole fleet after an outage.
 
-    peers: tuple[str, ...] = ()  # HOST:PORT of all balancers by number; none: the start-up file's
-    listen: str = ""  # HOST:PORT; nothing: the start-up file's
-    key_file: str = ""  # in the form of `[tier]`'s; nothing: unsigned, on loopback alone
-    loans: bool = True  # parts of the cold servers' budget go to those that have tunnels waiting
-    order: bool = True  # who waits is served by credit while the fleet fills
+    Takes nothing from `[tier]`, except that it uses the socket of `[tier]` if that section is present."""
+
+    peers: tuple[str, ...] = ()  # HOST:PORT of all balancers by number; empty: those of the start-up file
+    listen: str = ""  # HOST:PORT; empty: that of the start-up file
+    key_file: str = ""  # same format as in `[tier]`; empty: unsigned, loopback only
+    loans: bool = True  # lease slow-start budget of cold servers to balancers with queued tunnels
+    order: bool = True  # serve queued tunnels by credit during recovery
 
 
 class OperatorSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All sections. A subsystem adds its own here."""
+    """All sections of the file, one for each subsystem."""
 
     log: LogSection | None = None
     state: StateSection | None = None
@@ -70,5 +72,5 @@
 
 
 def read(path: str) -> OperatorSettings:
-    """Raises `validation.InvalidFileError` with all that is wrong."""
+    """Reads the file. Raises `validation.InvalidFileError` with every problem in it."""
     return validation.read(Path(path), OperatorSettings)
--- a/pointgw/validation.py
+++ b/pointgw/validation.py
@@ -1,7 +1,7 @@
-"""Files that people write, in TOML, read into typed structs with all their faults told at once.
+"""Reads TOML files into typed structs and reports every problem in a file at once.
 
-Source: msgspec's conversion tells one fault and stops; here each key is converted by itself, so that an
-operator mends a file in one go. An unknown key names the nearest known one.
+msgspec's conversion stops at the first error, so each key is converted separately here. For an unknown key
+the closest known key is named.
 """
 
 from __future__ import annotations
@@ -20,19 +20,20 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidValue:
-    """One thing that is wrong in a file."""
+    """One problem in a file."""
 
-    path: str  # of the key, as in "rule[2].share"; nothing: the file itself
+    path: str  # of the key, as in "rule[2].share"; empty: the file itself
     value: str
     expected: str
 
     def message(self, file: str) -> str:
+        """One line that names the file, the key, the value and what was expected."""
         shown = f" = {self.value}" if self.value else ""
         return f"{file}: {self.path or 'the file'}{shown}: expected {self.expected}"
 
 
 class InvalidFileError(Exception):
-    """A file that can't be used. `problems` holds all that is wrong with it."""
+    """A file that can't be used; `problems` lists every problem in it."""
 
     def __init__(self, file: str, problems: list[InvalidValue]) -> None:
         super().__init__("; ".join(problem.message(file) for problem in problems))
@@ -40,11 +41,12 @@
 
 
 def read(path: Path, kind: type[T]) -> T:
-    """The file as a struct. Raises `InvalidFileError` with every fault, also where it can't be opened."""
+    """Reads a file as a struct. Raises `InvalidFileError`, also if the file can't be opened."""
     return convert(read_toml(path), kind, str(path))
 
 
 def read_toml(path: Path) -> dict[str, Any]:
+    """Parses a file. Raises `InvalidFileError` if it can't be read or isn't TOML."""
     try:
         return tomllib.loads(path.read_text("utf-8"))
     except OSError as error:
@@ -56,11 +58,12 @@
 
 
 def convert(value: dict[str, Any], kind: type[T], file: str) -> T:
+    """Converts a parsed file to a struct. Raises `InvalidFileError`, in which `file` is the name."""
     problems = list(_field_errors(value, kind, ""))
     if problems:
         raise InvalidFileError(file, problems)
     converted = msgspec.convert(value, kind)
-    # What one key alone can't tell: a struct may have a method that looks at all of its keys.
+    # Conditions across keys: a struct may have a `check` method for them.
     problems = list(_cross_field_errors(converted, ""))
     if problems:
         raise InvalidFileError(file, problems)
@@ -91,14 +94,14 @@
             else:
                 closest = get_close_matches(name, fields, 1, 0.5)
                 known = f"{closest[0]!r}" if closest else "one of " + ", ".join(fields)
-                yield InvalidValue(key, "", f"{known} (this key is not known)")
+                yield InvalidValue(key, "", f"{known} (this key is unknown)")
         for name, field in fields.items():
             if name not in value and field.required:
-                yield InvalidValue(f"{path}.{name}" if path else name, "", "a value, got nothing")
+                yield InvalidValue(f"{path}.{name}" if path else name, "", "a value (this key is missing)")
 
 
 def _struct_of(kind: Any) -> type[msgspec.Struct] | None:
-    """The struct that a type holds: itself, or in a list of it, or beside None."""
+    """The struct in a type: the type itself, or that of a list's items or an optional; else None."""
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return kind
     inner = [_struct_of(item) for item in get_args(kind)]
@@ -106,9 +109,11 @@
 
 
 def _expected(text: str) -> str:
-    """msgspec says "Expected `int` >= 1, got `str`" or names the key; only what was expected is kept."""
+    """What was expected, from a message of msgspec like "Expected `int`, got `str` - at `$.key`"."""
     text = text.partition(" - at ")[0]
-    return text.replace("Expected ", "").replace("`", "").replace("Invalid enum value", "a known word, not")
+    return (
+        text.replace("Expected ", "").replace("`", "").replace("Invalid enum value", "an allowed value, not")
+    )
 
 
 def _cross_field_errors(struct: msgspec.Struct, path: str) -> Iterator[InvalidValue]:
