--- a/pointgw/command/__init__.py
+++ b/pointgw/command/__init__.py
@@ -1,1 +1,1 @@
-"""The command line. Only loaded where arguments are given: the daemon without any doesn't need it."""
+"""The command line; imported only if arguments are given, so that the daemon starts without it."""
--- a/pointgw/command/common.py
+++ b/pointgw/command/common.py
@@ -1,4 +1,4 @@
-"""What several commands share."""
+"""Parameter types and error handling that several commands share."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Address(click.ParamType[tuple[str, int]]):
-    """HOST:PORT on loopback; nothing else is spoken to."""
+    """HOST:PORT with a loopback host; other addresses are rejected."""
 
     name = "HOST:PORT"
 
@@ -28,10 +28,10 @@
 
 @contextmanager
 def report_invalid_file() -> Iterator[None]:
-    """A file with faults: a line for each, and exit 2."""
+    """On `InvalidFileError`, prints a line for each problem and exits with code 2."""
     try:
         yield
-    except validation.InvalidFileError as told:
-        for fault in told.problems:
-            click.echo(f"pointgw: {fault.message(told.file)}", err=True)
+    except validation.InvalidFileError as error:
+        for problem in error.problems:
+            click.echo(f"pointgw: {problem.message(error.file)}", err=True)
         raise click.exceptions.Exit(2) from None
--- a/pointgw/command/rig.py
+++ b/pointgw/command/rig.py
@@ -1,4 +1,4 @@
-"""The commands that play and show: what they print, and where they keep it."""
+"""`pointgw rig`, `demo`, `load` and `stand-in`: run scenarios, write records and print results."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     plot: bool,
     seconds: float | None,
 ) -> int:
-    """Plays a scenario once for each seed. Exit code 1: a rule was broken; 3: the run is void."""
+    """Runs a scenario once for each seed. Exit code 1: a rule was violated; 3: a run is void."""
     scenario = read(name)
     if seconds is not None:
         scenario = _stretched(scenario, seconds)
@@ -43,15 +43,15 @@
     try:
         for seed in range(scenario.seed, scenario.seed + seeds):
             found.append(asyncio.run(_play(scenario, seed, policy, Path(folder))))
-    except Void as fault:
-        click.echo(f"pointgw: void: {fault}", err=True)
+    except Void as error:
+        click.echo(f"pointgw: run is void: {error}", err=True)
         return 3
     except KeyboardInterrupt:
-        click.echo("pointgw: stopped; all parts are ended", err=True)
+        click.echo("pointgw: stopped; all processes have ended", err=True)
         return 130
-    place = Path(folder) / f"{scenario.name}-{policy}"
-    place.mkdir(parents=True, exist_ok=True)
-    (place / "result.json").write_bytes(msgspec.json.encode(found))
+    output = Path(folder) / f"{scenario.name}-{policy}"
+    output.mkdir(parents=True, exist_ok=True)
+    (output / "result.json").write_bytes(msgspec.json.encode(found))
     if as_json:
         click.echo(msgspec.json.encode(found).decode())
     else:
@@ -60,15 +60,15 @@
         try:
             from pointgw.testbed.plot import draw
         except ImportError:
-            click.echo("no plot: install pointgw[rig]", err=True)
+            click.echo("no plot: pointgw[rig] is not installed", err=True)
         else:
-            draw(found, place / "plot.png")
-            click.echo(f"plot: {place / 'plot.png'}   records: {place}", err=as_json)
+            draw(found, output / "plot.png")
+            click.echo(f"plot: {output / 'plot.png'}   records: {output}", err=as_json)
     return 0 if all(r.kept for r in found) else 1
 
 
 def _stretched(scenario: Scenario, seconds: float) -> Scenario:
-    """The same day, longer or shorter: its troubles keep their places in it."""
+    """The scenario with another length; its troubles are scaled with it."""
     factor = seconds / scenario.seconds
     troubles = [
         msgspec.structs.replace(t, at=t.at * factor, seconds=t.seconds * factor) for t in scenario.trouble
@@ -77,29 +77,30 @@
 
 
 async def _play(scenario: Scenario, seed: int, policy: str, folder: Path) -> Result:
-    place = folder / f"{scenario.name}-{policy}" / f"seed-{seed}"
+    """Runs a scenario with one seed and checks its records. SIGINT and SIGTERM end the run."""
+    output = folder / f"{scenario.name}-{policy}" / f"seed-{seed}"
     seeded = msgspec.structs.replace(scenario, seed=seed)
-    play = asyncio.current_task()
-    assert play is not None
+    task = asyncio.current_task()
+    assert task is not None
     loop = asyncio.get_running_loop()
     for name in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(name, play.cancel)
+        loop.add_signal_handler(name, task.cancel)
     try:
-        told = await Play(seeded, place, policy, _progress(scenario, seed)).play()
+        run_meta = await Play(seeded, output, policy, _progress(scenario, seed)).play()
     except asyncio.CancelledError:
         raise KeyboardInterrupt from None
-    found = records.read(place)
-    return result(found, told, judge(found, told))
+    found = records.read(output)
+    return result(found, run_meta, judge(found, run_meta))
 
 
 def _progress(scenario: Scenario, seed: int) -> Callable[[float], None] | None:
-    """How far a run is, on a terminal; nothing on a pipe."""
+    """A function that shows the progress of a run; None if standard error isn't a terminal."""
     if not sys.stderr.isatty():
         return None
 
     def show(at: float) -> None:
-        told = [t.what for t in scenario.trouble if t.at <= at < t.at + max(t.seconds, 1.0)]
-        line = f"{scenario.name} seed {seed}: {at:4.0f} of {scenario.seconds:.0f} s  {', '.join(told)}"
+        active = [t.what for t in scenario.trouble if t.at <= at < t.at + max(t.seconds, 1.0)]
+        line = f"{scenario.name} seed {seed}: {at:4.0f} of {scenario.seconds:.0f} s  {', '.join(active)}"
         click.echo(f"\r{line:<78}", nl=False, err=True)
         if at >= scenario.seconds:
             click.echo("", err=True)
@@ -108,13 +109,15 @@
 
 
 def judge_again(folder: str) -> int:
-    found, told = records.read(Path(folder)), rig_meta.read(Path(folder))
-    verdict = judge(found, told)
+    """Checks the records of an earlier run and prints the result; returns the exit code."""
+    found, run_meta = records.read(Path(folder)), rig_meta.read(Path(folder))
+    verdict = judge(found, run_meta)
     click.echo("\n".join(report(verdict)))
     return 0 if verdict.kept and verdict.judged else 1
 
 
 def show(first: str, other: str | None, as_json: bool) -> int:
+    """Prints one file of results, or two side by side."""
     one = _results(first)
     two = _results(other) if other is not None else None
     if as_json:
@@ -126,28 +129,32 @@
 
 
 def _results(path: str) -> list[Result]:
+    """Reads a result.json. Raises `validation.InvalidFileError`."""
     try:
         found = msgspec.json.decode(Path(path).read_bytes(), type=list[Result])
-    except OSError as fault:
-        what = f"a file that can be read ({fault.strerror})"
-    except msgspec.DecodeError as fault:
-        what = f"a result.json of rig run ({fault})"
+    except OSError as error:
+        expected = f"a file that can be read ({error.strerror})"
+    except msgspec.DecodeError as error:
+        expected = f"a result.json of rig run ({error})"
     else:
         if found:
             return found
-        what = "at least one run"
-    raise validation.InvalidFileError(path, [validation.InvalidValue("", "", what)])
+        expected = "at least one run"
+    raise validation.InvalidFileError(path, [validation.InvalidValue("", "", expected)])
 
 
 def load_and_show(load: Load, as_json: bool) -> int:
-    """Exit code 1: nothing could be opened."""
-    told = uvloop.run(load.run())
-    shown = json.dumps(told) if as_json else "  ".join(f"{name} {value:g}" for name, value in told.items())
-    click.echo(shown)
-    return 0 if told["opened"] else 1
+    """Opens tunnels and prints the figures. Exit code 1: none could be opened."""
+    figures = uvloop.run(load.run())
+    text = (
+        json.dumps(figures) if as_json else "  ".join(f"{name} {value:g}" for name, value in figures.items())
+    )
+    click.echo(text)
+    return 0 if figures["opened"] else 1
 
 
-def stand_in_until_told(alone: Alone) -> int:
+def stand_in_until_interrupted(alone: Alone) -> int:
+    """Runs stand-in servers and discovery until SIGINT."""
     log.configure("WARNING")
     with suppress(KeyboardInterrupt):
         uvloop.run(alone.run())
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -506,7 +506,7 @@
     path.write_bytes(msgspec.json.encode(told))
     assert command(["tier", "show", str(path)]) == 0
     out = capfd.readouterr().out
-    assert "2 of 3 there (2 dead), term 4, closed a" in out and "turned away 0.250" in out
+    assert "2 of 3 alive (2 dead), term 4, closed a" in out and "declined 0.250" in out
     os.utime(path, (1.0, 1.0))
     assert command(["tier", "show", str(path)]) == 1
     path.write_bytes(b'{"me":1}')
