--- a/pointgw/fault_proxy/__init__.py
+++ b/pointgw/fault_proxy/__init__.py
@@ -1,4 +1,5 @@
-"""A box between two sockets that delays, cuts, half-closes, drops, doubles or garbles what passes.
+"""A TCP proxy that injects faults: delays, resets, half-closes, and dropped, doubled or garbled lines.
 
-`script` is what a person writes, `schedule` decides (pure), `proxy` moves bytes, `trace` tells what was done.
+`script` holds the rules as written in TOML, `schedule` decides what happens to each byte (no I/O), `proxy`
+forwards the bytes, and `serve` runs it as a process.
 """
--- a/pointgw/fault_proxy/proxy.py
+++ b/pointgw/fault_proxy/proxy.py
@@ -1,6 +1,7 @@
-"""Moves bytes between two sockets as the schedules say. It decides nothing.
+"""Forwards bytes between two sockets as the schedules decide.
 
-Reading stops while `FULL` bytes wait in a direction, so a reader that stalls holds the writer.
+Reading pauses while more than `MAX_BUFFERED_BYTES` are queued in a direction, so that a slow reader slows the
+writer down.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 from pointgw.fault_proxy.script import Script
 from pointgw.net.run import tcp
 
-MAX_BUFFERED_BYTES = 64 * 1024  # bytes that wait in one direction after which its sender is not read
-RATE_SLICE_SECONDS = 0.05  # seconds of a limited rate that are written at a time
-MAX_FIRST_LINE_BYTES = 4096  # bytes of a first line by which a connection is known
-MAX_TRACE_LINES = 1_000_000  # lines of trace that are kept
+MAX_BUFFERED_BYTES = 64 * 1024  # queued in one direction before reading pauses
+RATE_SLICE_SECONDS = 0.05  # of a limited rate, written at once
+MAX_FIRST_LINE_BYTES = 4096  # a longer first line is not awaited to the end
+MAX_TRACE_LINES = 1_000_000  # further lines are only counted
 
 Address = tuple[str, int]
 
 
 class ConnectionState(Enum):
-    """Where a connection through the box stands."""
+    """State of a connection through the proxy."""
 
-    READING_FIRST_LINE = "naming"  # its first line has not come yet
-    CONNECTING = "opening"  # the far side is being reached
+    READING_FIRST_LINE = "naming"  # the first line is not complete yet
+    CONNECTING = "opening"  # to the target
     FORWARDING = "passing"
     CLOSED = "ended"
 
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True)
 class QueuedChunk:
-    """One piece on its way; no bytes: the direction's end, or a cut."""
+    """Bytes to be forwarded at loop time `due`, or the end of the direction or of the connection."""
 
     due: float
     data: bytes
@@ -58,7 +59,7 @@
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
         self.transport: asyncio.Transport | None = None
-        self.out: Flow | None = None  # what comes in here goes there
+        self.out: Flow | None = None  # not used
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -70,7 +71,7 @@
 
     def eof_received(self) -> bool:
         self.connection.end_of_input(self)
-        return True  # the other direction may go on
+        return True  # keep the other direction open
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.connection.endpoint_lost(exc is not None)
@@ -85,7 +86,7 @@
 
 
 class Flow:
-    """One direction: what has come and waits to go on."""
+    """One direction of a connection, with the bytes that are queued for the target socket."""
 
     __slots__ = (
         "blocked", "connection", "is_finished", "next_due", "queue", "queued_bytes", "schedule",
@@ -96,22 +97,25 @@
         self.connection, self.source, self.target = connection, source, target
         self.schedule: Schedule | None = None
         self.queue: deque[QueuedChunk] = deque()
-        self.queued_bytes = 0  # bytes in the queue
-        self.next_due = 0.0  # when the latest piece may go: none overtakes another
+        self.queued_bytes = 0
+        self.next_due = 0.0  # earliest time of the next chunk, so that chunks stay in order
         self.blocked = self.stalled = self.is_finished = False
         self.write_timer: asyncio.TimerHandle | None = None
         self.schedule_timer: asyncio.TimerHandle | None = None
 
     def begin(self, schedule: Schedule) -> None:
+        """Starts the direction, or restarts it with another schedule."""
         self.schedule = schedule
         self.apply_steps(schedule.advance(self.connection.age()))
 
     def schedule_due(self) -> None:
+        """Applies the steps that are due by time."""
         assert self.schedule is not None
         if self.connection.state is not ConnectionState.CLOSED and not self.schedule.is_finished:
             self.apply_steps(self.schedule.advance(self.connection.age()))
 
     def apply_steps(self, steps: list[Step]) -> None:
+        """Queues what the schedule decided, and sets the timer of its next step."""
         now = self.connection.loop.time()
         for step in steps:
             if isinstance(step, Forward):
@@ -133,28 +137,28 @@
     def _enqueue(self, step: Forward, now: float) -> None:
         self.next_due = max(self.next_due, now + step.delay)
         size = len(step.data) if step.rate is None else max(1, int(step.rate * RATE_SLICE_SECONDS))
-        for at in range(0, len(step.data), size):
-            piece = step.data[at : at + size]
+        for offset in range(0, len(step.data), size):
+            chunk = step.data[offset : offset + size]
             if step.rate is not None:
-                self.next_due += len(piece) / step.rate
-            self.queue.append(QueuedChunk(self.next_due, piece))
+                self.next_due += len(chunk) / step.rate
+            self.queue.append(QueuedChunk(self.next_due, chunk))
         self.queued_bytes += len(step.data)
         if self.queued_bytes > MAX_BUFFERED_BYTES:
             tcp.pause_reading(self.source.transport)
 
     def write_due(self) -> None:
-        """Writes what is due."""
+        """Writes the chunks that are due, and sets the timer of the next one."""
         transport = self.target.transport
         if transport is None or self.stalled or self.connection.state is not ConnectionState.FORWARDING:
             return
         now = self.connection.loop.time()
         while self.queue and not self.blocked and self.queue[0].due <= now + 1e-4:
-            piece = self.queue.popleft()
-            if piece.end is not None:
-                self.connection.finish_flow(self, piece.end)
+            chunk = self.queue.popleft()
+            if chunk.end is not None:
+                self.connection.finish_flow(self, chunk.end)
                 return
-            self.queued_bytes -= len(piece.data)
-            transport.write(piece.data)
+            self.queued_bytes -= len(chunk.data)
+            transport.write(chunk.data)
         if self.queued_bytes <= MAX_BUFFERED_BYTES and not self.is_finished:
             tcp.resume_reading(self.source.transport)
         if self.queue and not self.blocked:
@@ -171,13 +175,13 @@
 
 
 class Connection:
-    """One connection through the box: two sockets and two directions."""
+    """One connection through the proxy: two sockets and two directions."""
 
     def __init__(self, proxy: FaultProxy, number: int) -> None:
         self.proxy, self.number, self.loop = proxy, number, proxy.loop
         self.started_at = self.loop.time()
         self.name = ""
-        self.first_bytes = bytearray()  # what came while it had no name
+        self.first_bytes = bytearray()  # bytes received before it has a name
         self.first_bytes_ended = False
         self.client, self.target = Endpoint(self), Endpoint(self)
         self.up, self.down = Flow(self, self.client, self.target), Flow(self, self.target, self.client)
@@ -185,33 +189,34 @@
         self.connect_task: asyncio.Task[None] | None = None
 
     def change_state(self, state: ConnectionState) -> None:
-        """The one place where a connection changes state."""
+        """Changes the state. Raises ValueError if `TRANSITIONS` doesn't allow it."""
         if state not in TRANSITIONS[self.state]:
             raise ValueError(f"{self.state.value} cannot become {state.value}")
         self.state = state
 
     def age(self) -> float:
+        """Seconds since the connection began or the script was replaced."""
         return self.loop.time() - self.started_at
 
-    def direction_into(self, end: Endpoint) -> Flow:
-        """The direction that is written to a socket."""
-        return self.down if end is self.client else self.up
+    def direction_into(self, endpoint: Endpoint) -> Flow:
+        """The direction that writes to an endpoint."""
+        return self.down if endpoint is self.client else self.up
 
-    def connected(self, end: Endpoint) -> None:
-        if end is self.client:
+    def connected(self, endpoint: Endpoint) -> None:
+        if endpoint is self.client:
             self.proxy.connections[self] = None
             if self.proxy.script.known_by == "order":
                 self._identify(str(self.number))
-        elif self.state is ConnectionState.CLOSED and end.transport is not None:
-            end.transport.abort()
+        elif self.state is ConnectionState.CLOSED and endpoint.transport is not None:
+            endpoint.transport.abort()
         else:
             self.change_state(ConnectionState.FORWARDING)
             self.up.write_due()
 
-    def received(self, end: Endpoint, data: bytes) -> None:
+    def received(self, endpoint: Endpoint, data: bytes) -> None:
         if self.state is ConnectionState.CLOSED:
             return
-        flow = self.up if end is self.client else self.down
+        flow = self.up if endpoint is self.client else self.down
         if flow.schedule is None:
             self.first_bytes += data
             if b"\n" in self.first_bytes or len(self.first_bytes) > MAX_FIRST_LINE_BYTES:
@@ -219,10 +224,10 @@
         elif not flow.schedule.is_finished:
             flow.apply_steps(flow.schedule.feed(data, self.age()))
 
-    def end_of_input(self, end: Endpoint) -> None:
+    def end_of_input(self, endpoint: Endpoint) -> None:
         if self.state is ConnectionState.CLOSED:
             return
-        flow = self.up if end is self.client else self.down
+        flow = self.up if endpoint is self.client else self.down
         if flow.schedule is None:
             self._identify(self.proxy.name_from_first_line(bytes(self.first_bytes)))
         if flow.schedule is not None:
@@ -240,27 +245,27 @@
             return
         self.change_state(ConnectionState.CONNECTING)
         self.connect_task = self.loop.create_task(self._connect())
-        for flow, way in ((self.up, "up"), (self.down, "down")):
+        for flow, direction in ((self.up, "up"), (self.down, "down")):
             if self.state is not ConnectionState.CLOSED:
-                flow.begin(Schedule(script, rules, seed, name, way))
+                flow.begin(Schedule(script, rules, seed, name, direction))
         if self.first_bytes:
             first_bytes, self.first_bytes = bytes(self.first_bytes), bytearray()
             self.received(self.client, first_bytes)
 
     def replace_script(self) -> None:
-        """The box has other rules: both directions begin anew by them."""
+        """Restarts both directions with the proxy's new script."""
         rules = select_rules(self.proxy.script, self.proxy.seed, self.name, self.number)
         self.started_at = self.loop.time()
-        for flow, way in ((self.up, "up"), (self.down, "down")):
+        for flow, direction in ((self.up, "up"), (self.down, "down")):
             if (
                 flow.schedule is not None
                 and not flow.schedule.is_finished
                 and self.state is not ConnectionState.CLOSED
             ):
-                self.proxy.add_trace(self.name, [choice.text(self.name) for choice in flow.schedule.trace])
+                self.proxy.add_trace(self.name, [entry.text(self.name) for entry in flow.schedule.trace])
                 flow.apply_steps(flow.schedule.release())
                 flow.stalled, flow.next_due = False, self.loop.time()
-                flow.begin(Schedule(self.proxy.script, rules, self.proxy.seed, self.name, way))
+                flow.begin(Schedule(self.proxy.script, rules, self.proxy.seed, self.name, direction))
 
     async def _connect(self) -> None:
         try:
@@ -268,22 +273,22 @@
         except OSError:
             self._close(True)
 
-    def finish_flow(self, flow: Flow, how: HalfClose | Close) -> None:
-        """A direction has passed its last byte."""
-        if isinstance(how, Close):
-            self._close(how.reset)
+    def finish_flow(self, flow: Flow, ending: HalfClose | Close) -> None:
+        """Ends a direction, or the connection, after the last byte."""
+        if isinstance(ending, Close):
+            self._close(ending.reset)
             return
         flow.is_finished = True
         transport = flow.target.transport
         if transport is not None and not transport.is_closing():
             transport.write_eof()
         if flow.source.transport is not None:
-            tcp.resume_reading(flow.source.transport)  # what still comes is read and dropped
+            tcp.resume_reading(flow.source.transport)  # further bytes are read and dropped
         if self.up.is_finished and self.down.is_finished:
             self._close(False)
 
     def endpoint_lost(self, reset: bool) -> None:
-        """One of the sockets is gone."""
+        """Closes the connection after one of its sockets was closed."""
         if self.state is not ConnectionState.CLOSED:
             self._close(reset)
 
@@ -297,30 +302,31 @@
         for flow in (self.up, self.down):
             flow.cancel_timers()
             if flow.schedule is not None:
-                lines += [choice.text(self.name) for choice in flow.schedule.trace]
-        for end in (self.client, self.target):
-            if end.transport is not None and reset:
-                tcp.abort_with_reset(end.transport)
-            elif end.transport is not None:
-                end.transport.close()
+                lines += [entry.text(self.name) for entry in flow.schedule.trace]
+        for endpoint in (self.client, self.target):
+            if endpoint.transport is not None and reset:
+                tcp.abort_with_reset(endpoint.transport)
+            elif endpoint.transport is not None:
+                endpoint.transport.close()
         self.proxy.add_trace(self.name, lines)
         self.proxy.connections.pop(self, None)
 
 
 @dataclass(slots=True)
 class ProxyStats:
-    """What a box has seen."""
+    """Counters of a `FaultProxy`."""
 
     connections: int = 0
     traced_lines: int = 0
-    dropped_lines: int = 0  # lines of trace over `TRACED`
+    dropped_lines: int = 0  # lines of trace beyond `MAX_TRACE_LINES`
 
 
 @dataclass(slots=True, eq=False)
 class FaultProxy:
-    """Listens, and stands between each that connects and the target.
+    """Forwards each connection to the target, with the faults of a script.
 
-    `async with Box(script, seed, target) as box:` listens on a free port of 127.0.0.1, `box.address`.
+    `async with FaultProxy(script, seed, target) as proxy:` listens on a free port of 127.0.0.1, which
+    `proxy.address` gives.
     """
 
     script: Script
@@ -335,6 +341,7 @@
     _server: asyncio.Server | None = field(default=None, init=False)
 
     async def start(self) -> Address:
+        """Listens; returns the address."""
         self.loop = asyncio.get_running_loop()
         self._server = await self.loop.create_server(self._accept, *self.listen, backlog=1024)
         host, port = self._server.sockets[0].getsockname()[:2]
@@ -350,43 +357,44 @@
         self.stats.connections += 1
         return Connection(self, number).client
 
-    def name_from_first_line(self, first: bytes) -> str:
-        """By the first three words of the first line; what comes again is counted."""
-        words = first.split(b"\n", 1)[0].split()[:3]
+    def name_from_first_line(self, first_line: bytes) -> str:
+        """A name from the first three words of the first line; repeated names are numbered."""
+        words = first_line.split(b"\n", 1)[0].split()[:3]
         base = blake2b(b" ".join(words), digest_size=6).hexdigest()
         self._name_counts[base] += 1
         return base if self._name_counts[base] == 1 else f"{base}.{self._name_counts[base]}"
 
     def replace_script(self, script: Script) -> None:
-        """Turns to other rules, for open connections too: their moments count from now on.
+        """Replaces the rules, also for open connections, whose moments count from now on.
 
-        Only where connections are known by order, as the first lines of open ones have passed.
+        Raises ValueError unless both scripts know connections by order, as first lines have already passed.
         """
         if script.known_by != "order" or self.script.known_by != "order":
-            raise ValueError("expected scripts whose connections are known by order")
+            raise ValueError("expected scripts with known_by = 'order'")
         self.script = script
-        for link in list(self.connections):
-            link.replace_script()
+        for connection in list(self.connections):
+            connection.replace_script()
 
     def add_trace(self, name: str, lines: list[str]) -> None:
-        room = max(0, MAX_TRACE_LINES - self.stats.traced_lines)
-        self.stats.dropped_lines += max(0, len(lines) - room)
-        self.stats.traced_lines += min(len(lines), room)
-        if lines[:room]:
-            self._traces.setdefault(name, []).extend(lines[:room])
+        """Appends to a connection's trace, up to `MAX_TRACE_LINES` in all."""
+        remaining = max(0, MAX_TRACE_LINES - self.stats.traced_lines)
+        self.stats.dropped_lines += max(0, len(lines) - remaining)
+        self.stats.traced_lines += min(len(lines), remaining)
+        if lines[:remaining]:
+            self._traces.setdefault(name, []).extend(lines[:remaining])
 
     def trace(self) -> str:
-        """The choices made on all connections that have ended, by connection: the same text for the same
-        seed, whatever the order in time."""
+        """The trace of all closed connections, sorted by connection: the same text for the same seed,
+        whatever the order in time."""
         ordered = sorted(self._traces, key=lambda name: (len(name), name))
         return "".join(line + "\n" for name in ordered for line in self._traces[name])
 
     async def stop(self) -> None:
-        """No port and no connection is left."""
+        """Stops listening and closes all connections."""
         if self._server is not None:
             self._server.close()
-        for link in list(self.connections):
-            link.endpoint_lost(False)
+        for connection in list(self.connections):
+            connection.endpoint_lost(False)
         if self._server is not None:
             await self._server.wait_closed()
 
--- a/pointgw/fault_proxy/schedule.py
+++ b/pointgw/fault_proxy/schedule.py
@@ -1,10 +1,10 @@
-"""What happens to each byte of a connection, decided from the script and a seed alone. No I/O, no clock.
+"""Decides what happens to each byte of a connection from the script and a seed alone. No I/O, no clock.
 
-One `Schedule` stands for one direction of one connection. Bytes go in as they come, with the time since the
-connection began, and steps come out. How the bytes were cut into reads decides nothing: a choice hangs on the
-number of a line or a byte, so the same seed gives the same choices and the same trace.
+A `Schedule` handles one direction of one connection: it takes bytes, with the time since the connection
+began, and returns steps. Choices depend on line and byte numbers, not on how the bytes were split into reads,
+so the same seed gives the same choices and the same trace.
 
-Known limits: a line that `double` or `replace` may act on is held until its end, up to `LONGEST_HELD`.
+Known limits: a line to be doubled, replaced or garbled is held until its end, up to `MAX_HELD_BYTES`.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 from pointgw.fault_proxy.script import CONNECTION_ACTS, CONTINUOUS_ACTS, LINE_ACTS, Rule, Script
 
-MAX_HELD_BYTES = 64 * 1024  # bytes of a line that is held to be doubled or replaced
+MAX_HELD_BYTES = 64 * 1024  # of a line to be modified; a longer one is forwarded as it is
 NEWLINE = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """These bytes go on, so many seconds after they came, at no more than so many bytes a second."""
+    """Forward bytes `delay` seconds after they came, at most `rate` bytes per second (None: unlimited)."""
 
     data: bytes
     delay: float
@@ -30,19 +30,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Stall:
-    """Nothing more goes on in this direction, for a time (0: for good)."""
+    """Forward nothing in this direction for `seconds` (0: for good)."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class HalfClose:
-    """This direction ends; the other goes on."""
+    """End this direction; the other goes on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """Both directions end at once: in order, or by a reset."""
+    """Close the connection at once, by a TCP reset if `reset`."""
 
     reset: bool
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceEntry:
-    """One line of the trace: what was decided, and at which byte and line of the direction."""
+    """One line of the trace: an act of a rule, and the byte and line of the direction where it began."""
 
     direction: str
     rule: int
@@ -62,6 +62,7 @@
     detail: str = ""
 
     def text(self, connection: str) -> str:
+        """The line of the trace; `connection` is the connection's name."""
         tail = f" {self.detail}" if self.detail else ""
         return (
             f"{connection} {self.direction} rule={self.rule} {self.act}"
@@ -70,15 +71,15 @@
 
 
 class RulePhase(Enum):
-    """Where a rule stands within one direction of a connection."""
+    """Phase of a rule within one direction of a connection."""
 
-    WAITING = "waiting"  # its moment has not come
-    ACTING = "acting"
-    SPENT = "spent"
+    WAITING = "waiting"  # its moment is still to come
+    ACTIVE = "acting"
+    EXHAUSTED = "spent"
 
 
 class RuleState:
-    """One rule within one direction of one connection."""
+    """State of one rule within one direction of one connection."""
 
     __slots__ = ("delayed_lines", "number", "phase", "remaining_times", "rng", "rule")
 
@@ -86,29 +87,30 @@
         self.rule, self.number, self.rng = rule, number, rng
         self.phase = RulePhase.WAITING
         self.remaining_times = rule.times
-        self.delayed_lines = 0  # lines that a delay was drawn for
+        self.delayed_lines = 0  # lines delayed so far
 
     def change_phase(self, phase: RulePhase) -> None:
-        if self.phase is RulePhase.SPENT:
-            raise ValueError(f"rule {self.number} is spent")
+        """Raises ValueError if the rule is exhausted."""
+        if self.phase is RulePhase.EXHAUSTED:
+            raise ValueError(f"rule {self.number} is exhausted")
         self.phase = phase
 
 
 def applies_to(rule: Rule, number: int | None, rng: Random) -> bool:
-    """Whether a rule is for this connection; `number` is None where the first line tells it."""
-    selected = rng.random() < rule.share  # drawn for each rule, so that one doesn't move the next
+    """Whether a rule applies to a connection; `number` is None if it is known by its first line."""
+    selected = rng.random() < rule.share  # drawn for every connection, whether its number fits or not
     if number is None:
         return selected
     return selected and number >= rule.first and (number - rule.first) % rule.every == 0
 
 
 def select_rules(script: Script, seed: int, name: str, number: int | None) -> list[int]:
-    """The numbers of the rules that hold for a connection."""
+    """Numbers of the rules that apply to a connection."""
     return [i for i, rule in enumerate(script.rule) if applies_to(rule, number, Random(f"{seed}/{name}/{i}"))]
 
 
 class Schedule:
-    """One direction of one connection."""
+    """The rules' effect on one direction of one connection."""
 
     def __init__(self, script: Script, rules: list[int], seed: int, name: str, direction: str) -> None:
         self.direction = direction
@@ -118,28 +120,28 @@
             if script.rule[i].way in (direction, "both") and script.rule[i].act != "refuse"
         ]
         self.trace: list[TraceEntry] = []
-        self.byte = self.line = 0  # of what has come in
+        self.byte = self.line = 0  # bytes and lines received so far
         self.at_line_start = True  # the next byte begins a line
         self.delay = 0.0
         self.is_finished = False
-        self.held_line = bytearray()  # the line that may be doubled or replaced
+        self.held_line = bytearray()  # start of a line to be modified
         self.is_holding = self.is_dropping = False
         self.now = 0.0
 
     def next_time(self) -> float | None:
-        """When the next rule acts by time alone, in seconds of the connection; None: none does."""
+        """Time of the next rule with `after_seconds`, in seconds since the connection began; None if none."""
         times = [s.rule.after_seconds for s in self.rules if s.phase is RulePhase.WAITING]
         return min((at for at in times if at is not None), default=None)
 
     def advance(self, now: float) -> list[Step]:
-        """By the clock: cuts and stalls need no byte to pass."""
+        """Steps that are due by time, without any byte received."""
         self.now = now
         steps: list[Step] = []
         self._start_due_rules(steps)
         return steps
 
     def feed(self, data: bytes, now: float) -> list[Step]:
-        """Bytes that have come in this direction."""
+        """Steps for bytes received in this direction at time `now`."""
         self.now = now
         steps: list[Step] = []
         at = 0
@@ -157,14 +159,14 @@
         return _coalesced(steps)
 
     def release(self) -> list[Step]:
-        """What is held of a line goes on as it is."""
+        """Steps that forward the held part of a line unchanged."""
         steps: list[Step] = []
         self._forward(bytes(self.held_line), steps)
         self.held_line.clear()
         return steps
 
     def finish(self) -> list[Step]:
-        """The sender has ended: what is held goes on, and then the end."""
+        """Steps for the end of input: the held part of a line, then the half-close."""
         steps: list[Step] = []
         if not self.is_finished:
             steps += self.release()
@@ -173,7 +175,7 @@
         return _coalesced(steps)
 
     def _run_end(self, data: bytes, at: int) -> int:
-        """Where the run of bytes ends that nothing can change within: a line's end or a rule's byte."""
+        """End of the bytes from `at` that are treated alike: a line's end or the next rule's byte."""
         newline = data.find(b"\n", at)
         end = len(data) if newline < 0 else newline + 1
         for state in self.rules:
@@ -183,18 +185,18 @@
         return end
 
     def _start_due_rules(self, steps: list[Step]) -> None:
-        """Rules whose moment has come."""
+        """Starts the rules whose moment has come."""
         for state in self.rules:
             if self.is_finished or state.phase is not RulePhase.WAITING or not self._is_due(state.rule):
                 continue
             rule = state.rule
-            state.change_phase(RulePhase.ACTING)
+            state.change_phase(RulePhase.ACTIVE)
             if rule.act in (*LINE_ACTS, *CONTINUOUS_ACTS):
                 if rule.act == "rate":
                     self._add_trace(state, f"bytes_per_second={rule.bytes_per_second}")
                 continue
             self._add_trace(state, f"seconds={rule.seconds:g}" if rule.act == "stall" else "")
-            state.change_phase(RulePhase.SPENT)
+            state.change_phase(RulePhase.EXHAUSTED)
             if rule.act == "stall":
                 steps.append(Stall(rule.seconds))
             elif rule.act == "half-close":
@@ -214,11 +216,11 @@
         return self.byte >= (rule.after_bytes or 0)
 
     def _start_line(self) -> None:
-        """What is decided once for a line: its delay, and whether it is changed."""
+        """Decides a line's delay, and whether it is to be modified or dropped."""
         self.at_line_start, self.delay = False, 0.0
         self.is_holding = self.is_dropping = False
         for state in self.rules:
-            if state.phase is not RulePhase.ACTING:
+            if state.phase is not RulePhase.ACTIVE:
                 continue
             rule = state.rule
             if rule.act == "delay":
@@ -233,12 +235,14 @@
                 self.is_holding = True
 
     def _use_once(self, state: RuleState, detail: str = "") -> None:
+        """Counts one use of a rule that acts `Rule.times` times."""
         self._add_trace(state, detail)
         state.remaining_times -= 1
         if not state.remaining_times:
-            state.change_phase(RulePhase.SPENT)
+            state.change_phase(RulePhase.EXHAUSTED)
 
     def _process(self, run: bytes, steps: list[Step]) -> None:
+        """Forwards, holds or drops bytes of one line."""
         self.byte += len(run)
         ends = run[-1] == NEWLINE
         if self.is_holding and not self.is_dropping:
@@ -255,20 +259,21 @@
             self.at_line_start = True
 
     def _modified(self, line: bytes) -> bytes:
+        """A whole line after the active rules that modify lines."""
         for state in self.rules:
             rule = state.rule
-            if state.phase is not RulePhase.ACTING:
+            if state.phase is not RulePhase.ACTIVE:
                 continue
             if rule.act == "replace" and line.startswith(rule.find.encode()):
                 line = rule.put.encode() + line[len(rule.find.encode()) :]
                 self._use_once(state, f"find={rule.find} put={rule.put}")
             elif rule.act == "garble":
                 body = line.rstrip(b"\r\n")
-                place = state.rng.randrange(max(1, len(body)))
+                position = state.rng.randrange(max(1, len(body)))
                 value = state.rng.randrange(1, 256)
-                mixed = bytes([body[place] ^ value]) if body else b"?"
-                line = body[:place] + mixed + body[place + 1 :] + line[len(body) :]
-                self._use_once(state, f"place={place} by={value}")
+                garbled = bytes([body[position] ^ value]) if body else b"?"
+                line = body[:position] + garbled + body[position + 1 :] + line[len(body) :]
+                self._use_once(state, f"place={position} by={value}")
             elif rule.act == "double":
                 line += line
                 self._use_once(state)
@@ -279,7 +284,7 @@
             rates = [
                 s.rule.bytes_per_second
                 for s in self.rules
-                if s.phase is RulePhase.ACTING and s.rule.bytes_per_second is not None
+                if s.phase is RulePhase.ACTIVE and s.rule.bytes_per_second is not None
             ]
             steps.append(Forward(data, self.delay, min(rates, default=None)))
 
@@ -290,7 +295,7 @@
 
 
 def _coalesced(steps: list[Step]) -> list[Step]:
-    """Runs that go on alike, as one step."""
+    """Joins adjacent `Forward` steps of equal delay and rate."""
     out: list[Step] = []
     for step in steps:
         last = out[-1] if out else None
--- a/pointgw/fault_proxy/script.py
+++ b/pointgw/fault_proxy/script.py
@@ -1,4 +1,4 @@
-"""What a fault box is told to do: rules in TOML, each for some connections, a direction, a moment, an act."""
+"""The script of a fault proxy: rules in TOML, each with its connections, direction, moment and act."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 Positive = Annotated[int, msgspec.Meta(ge=1)]
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=3600.0)]
 Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
-CONTINUOUS_ACTS = ("delay", "rate")
-LINE_ACTS = ("drop", "double", "garble", "replace")
-CONNECTION_ACTS = ("end", "reset", "refuse")
+CONTINUOUS_ACTS = ("delay", "rate")  # from the moment on
+LINE_ACTS = ("drop", "double", "garble", "replace")  # on `Rule.times` lines
+CONNECTION_ACTS = ("end", "reset", "refuse")  # on both directions
 
 
 class Rule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One rule. Which connections, which way, from when on, what is done.
+    """One rule: for which connections, in which direction, from which moment on, which act.
 
-    A moment is a byte, a line or a time of the connection, counted from 0 in that direction. Bytes and lines
-    decide the same at each run; a time does so only as far as the machine keeps it.
+    The moment is a byte, a line or a time of the connection, counted from 0 in that direction. Bytes and
+    lines are the same in each run; a time is only as exact as the machine's scheduling.
     """
 
     act: Act
-    way: Literal["up", "down", "both"] = "both"  # up: from the one who connects
-    first: Count = 0  # connections by number, from this one on
-    every: Positive = 1  # of these each n-th
-    share: Share = 1.0  # of these by chance
+    way: Literal["up", "down", "both"] = "both"  # up: from the client to the target
+    first: Count = 0  # number of the first connection concerned
+    every: Positive = 1  # each n-th connection from there on
+    share: Share = 1.0  # share of these, chosen at random
     after_bytes: Count | None = None
     after_lines: Count | None = None
     after_seconds: Seconds | None = None
-    seconds: Seconds = 0.0  # delay: of each line; stall: how long (0: for good)
-    jitter: Seconds = 0.0  # delay: up to this much more, by chance
-    grow: Seconds = 0.0  # delay: more with each line
+    seconds: Seconds = 0.0  # delay: of each line; stall: duration (0: for good)
+    jitter: Seconds = 0.0  # delay: random addition, at most this
+    grow: Seconds = 0.0  # delay: addition for each line before
     bytes_per_second: Positive | None = None  # rate
-    times: Positive = 1  # drop, double, garble, replace: how many lines
-    find: str = ""  # replace: what a line begins with
-    put: str = ""  # replace: what it begins with afterwards
+    times: Positive = 1  # drop, double, garble, replace: number of lines
+    find: str = ""  # replace: start of the lines concerned
+    put: str = ""  # replace: the new start
 
     def check(self) -> Iterator[tuple[str, object, str]]:
         moments = [self.after_bytes, self.after_lines, self.after_seconds]
@@ -51,17 +51,17 @@
         if self.act == "delay" and not (self.seconds or self.jitter or self.grow):
             yield "seconds", self.seconds, "seconds, jitter or grow over 0, as act is 'delay'"
         if self.act == "replace" and not self.find:
-            yield "find", self.find, "what a line begins with, as act is 'replace'"
+            yield "find", self.find, "the start of a line, as act is 'replace'"
         if self.act in LINE_ACTS and self.after_bytes is not None:
             yield "after_bytes", self.after_bytes, f"after_lines or after_seconds, as act is {self.act!r}"
 
 
 class Script(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All rules of a box."""
+    """All rules of a fault proxy."""
 
     rule: tuple[Rule, ...] = ()
-    # How connections are told apart for chance: by the order they come in, or by their first line, which
-    # gives the same choices and trace in whatever order they come.
+    # What seeds the random choices of a connection: its number in order of arrival, or its first line, which
+    # gives the same choices and trace for any order of arrival.
     known_by: Literal["order", "first-line"] = "order"
 
     def check(self) -> Iterator[tuple[str, object, str]]:
--- a/pointgw/fault_proxy/serve.py
+++ b/pointgw/fault_proxy/serve.py
@@ -1,4 +1,4 @@
-"""The fault box as a process of its own."""
+"""Runs the fault proxy as a process."""
 
 from __future__ import annotations
 
@@ -15,25 +15,27 @@
 
 
 def serve_fault_proxy(listen: Address, to: Address, script: str | None, seed: int, trace: str | None) -> int:
-    """Runs until SIGINT or SIGTERM, then writes the trace. Raises `validation.InvalidFileError`."""
+    """Runs until SIGINT or SIGTERM, then writes the trace; returns the exit code.
+
+    Raises `validation.InvalidFileError`."""
     rules = validation.read(Path(script), Script) if script else Script()
 
     async def serve() -> int:
-        box = FaultProxy(rules, seed, to, listen)
+        proxy = FaultProxy(rules, seed, to, listen)
         try:
-            host, port = await box.start()
-        except OSError as fault:
-            print(f"pointgw fault-box: {listen[0]}:{listen[1]}: {fault.strerror}", file=sys.stderr)
+            host, port = await proxy.start()
+        except OSError as error:
+            print(f"pointgw fault-box: {listen[0]}:{listen[1]}: {error.strerror}", file=sys.stderr)
             return 1
-        ended = asyncio.Event()
+        stopped = asyncio.Event()
         for name in (signal.SIGINT, signal.SIGTERM):
-            asyncio.get_running_loop().add_signal_handler(name, ended.set)
+            asyncio.get_running_loop().add_signal_handler(name, stopped.set)
         print(f"listening on {host}:{port}, to {to[0]}:{to[1]}", flush=True)
-        await ended.wait()
-        await box.stop()
+        await stopped.wait()
+        await proxy.stop()
         if trace is not None:
-            Path(trace).write_text(box.trace())
-        print(f"{box.stats.connections} connections, {box.stats.traced_lines} choices", flush=True)
+            Path(trace).write_text(proxy.trace())
+        print(f"{proxy.stats.connections} connections, {proxy.stats.traced_lines} choices", flush=True)
         return 0
 
     return uvloop.run(serve())
--- a/tests/test_fault_proxy.py
+++ b/tests/test_fault_proxy.py
@@ -1,4 +1,4 @@
-"""The fault box: its schedule by itself, and bytes through it on loopback."""
+"""The fault proxy: its schedule alone, and connections through it on loopback."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 )
 
 
-def schedule(*rules: Rule, way: str = "up", seed: int = 1) -> Schedule:
-    return Schedule(Script(rules), list(range(len(rules))), seed, "c", way)
+def make_schedule(*rules: Rule, direction: str = "up", seed: int = 1) -> Schedule:
+    return Schedule(Script(rules), list(range(len(rules))), seed, "c", direction)
 
 
-def passed(steps: list[Step]) -> bytes:
+def forwarded(steps: list[Step]) -> bytes:
     return b"".join(step.data for step in steps if isinstance(step, Forward))
 
 
 @pytest.mark.parametrize(
-    ("rule", "got", "last"),
+    ("rule", "expected", "last"),
     [
         (Rule(act="drop", after_lines=1), LINES.replace(b"hello\r\n", b""), HalfClose()),
         (Rule(act="double", after_lines=1), LINES.replace(b"hello\r\n", b"hello\r\nhello\r\n"), HalfClose()),
@@ -51,52 +51,56 @@
         (Rule(act="drop", way="down"), LINES, HalfClose()),
     ],
 )
-def test_each_act_at_its_byte_or_line(rule: Rule, got: bytes, last: Step) -> None:
-    made = schedule(rule)
-    steps = made.feed(LINES, 0.0) + made.finish()
-    assert passed(steps) == got and steps[-1] == last
+def test_each_act_takes_effect_at_its_byte_or_line(rule: Rule, expected: bytes, last: Step) -> None:
+    schedule = make_schedule(rule)
+    steps = schedule.feed(LINES, 0.0) + schedule.finish()
+    assert forwarded(steps) == expected and steps[-1] == last
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.binary(min_size=0, max_size=30), max_size=12), st.integers(0, 2**32), st.integers(0, 9))
-def test_how_bytes_are_cut_into_reads_decides_nothing(lines: list[bytes], cuts: int, seed: int) -> None:
+def test_the_split_of_bytes_into_reads_makes_no_difference(
+    lines: list[bytes], split_seed: int, seed: int
+) -> None:
     data = b"\r\n".join([*lines, b"UP 1", b""])
     whole = Schedule(ALL_ACTS, list(range(7)), seed, "c", "down")
-    parts = Schedule(ALL_ACTS, list(range(7)), seed, "c", "down")
+    in_parts = Schedule(ALL_ACTS, list(range(7)), seed, "c", "down")
     once = whole.feed(data, 0.0) + whole.finish()
-    rng, at, pieces = Random(cuts), 0, list[Step]()
-    while at < len(data):
+    rng, offset, steps = Random(split_seed), 0, list[Step]()
+    while offset < len(data):
         size = rng.randrange(1, 9)
-        pieces += parts.feed(data[at : at + size], 0.0)
-        at += size
-    pieces += parts.finish()
-    assert passed(once) == passed(pieces)
-    assert [c.text("c") for c in whole.trace] == [c.text("c") for c in parts.trace]
+        steps += in_parts.feed(data[offset : offset + size], 0.0)
+        offset += size
+    steps += in_parts.finish()
+    assert forwarded(once) == forwarded(steps)
+    assert [c.text("c") for c in whole.trace] == [c.text("c") for c in in_parts.trace]
 
 
-def test_a_delay_grows_line_by_line_and_time_alone_can_cut() -> None:
-    made = schedule(Rule(act="delay", seconds=0.1, grow=0.2))
-    steps = made.feed(b"a\nb\nc\n", 0.0)
+def test_a_delay_grows_with_each_line_and_a_close_can_be_due_by_time_alone() -> None:
+    schedule = make_schedule(Rule(act="delay", seconds=0.1, grow=0.2))
+    steps = schedule.feed(b"a\nb\nc\n", 0.0)
     assert [round(s.delay, 3) for s in steps if isinstance(s, Forward)] == [0.1, 0.3, 0.5]
-    made = schedule(Rule(act="end", after_seconds=2.0), Rule(act="stall", after_seconds=1.0, seconds=5.0))
-    assert made.next_time() == 1.0 and made.advance(0.5) == []
-    assert made.advance(1.2) == [Stall(5.0)] and made.next_time() == 2.0
-    assert made.advance(2.0) == [Close(False)]
+    schedule = make_schedule(
+        Rule(act="end", after_seconds=2.0), Rule(act="stall", after_seconds=1.0, seconds=5.0)
+    )
+    assert schedule.next_time() == 1.0 and schedule.advance(0.5) == []
+    assert schedule.advance(1.2) == [Stall(5.0)] and schedule.next_time() == 2.0
+    assert schedule.advance(2.0) == [Close(False)]
 
 
-def test_a_long_line_is_held_up_to_a_bound_only() -> None:
-    made = schedule(Rule(act="double"))
-    steps = made.feed(b"x" * 200_000, 0.0)
-    assert len(passed(steps)) > 100_000 and len(made.held_line) < 100_000
+def test_a_line_is_held_up_to_a_bound_only() -> None:
+    schedule = make_schedule(Rule(act="double"))
+    steps = schedule.feed(b"x" * 200_000, 0.0)
+    assert len(forwarded(steps)) > 100_000 and len(schedule.held_line) < 100_000
 
 
-def test_chance_takes_its_share_of_connections_and_the_same_ones_again() -> None:
+def test_a_random_share_of_connections_is_the_same_for_the_same_seed() -> None:
     script = Script((Rule(act="refuse", share=0.3), Rule(act="reset", first=10, every=5)))
-    taken = [select_rules(script, 7, str(i), i) for i in range(1000)]
-    assert 250 < sum(0 in rules for rules in taken) < 350
-    assert [i for i, rules in enumerate(taken) if 1 in rules][:3] == [10, 15, 20]
-    assert taken == [select_rules(script, 7, str(i), i) for i in range(1000)]
-    assert taken != [select_rules(script, 8, str(i), i) for i in range(1000)]
+    selected = [select_rules(script, 7, str(i), i) for i in range(1000)]
+    assert 250 < sum(0 in rules for rules in selected) < 350
+    assert [i for i, rules in enumerate(selected) if 1 in rules][:3] == [10, 15, 20]
+    assert selected == [select_rules(script, 7, str(i), i) for i in range(1000)]
+    assert selected != [select_rules(script, 8, str(i), i) for i in range(1000)]
 
 
 @pytest.mark.parametrize(
@@ -111,29 +115,34 @@
         ({"act": "replace"}, "rule[0].find"),
     ],
 )
-def test_a_faulty_rule_is_named(rule: dict[str, object], path: str) -> None:
-    with pytest.raises(validation.InvalidFileError) as told:
+def test_an_invalid_rule_is_reported_with_its_path(rule: dict[str, object], path: str) -> None:
+    with pytest.raises(validation.InvalidFileError) as raised:
         validation.convert({"rule": [rule]}, Script, "f")
-    assert [fault.path for fault in told.value.problems] == [path]
+    assert [problem.path for problem in raised.value.problems] == [path]
 
 
-# On sockets.
+# Through sockets.
 
-Scene = Callable[[FaultProxy, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+Client = Callable[[FaultProxy, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def through(script: Script, scene: Scene, far: Callable[..., Awaitable[None]], seed: int = 1) -> FaultProxy:
+def run_through_proxy(
+    script: Script, client: Client, server_handler: Callable[..., Awaitable[None]], seed: int = 1
+) -> FaultProxy:
     async def main() -> FaultProxy:
-        server = await asyncio.start_server(far, "127.0.0.1", 0)
-        async with FaultProxy(script, seed, server.sockets[0].getsockname()[:2]) as box, asyncio.timeout(15):
-            reader, writer = await asyncio.open_connection(*box.address)
-            await scene(box, reader, writer)
+        server = await asyncio.start_server(server_handler, "127.0.0.1", 0)
+        async with (
+            FaultProxy(script, seed, server.sockets[0].getsockname()[:2]) as proxy,
+            asyncio.timeout(15),
+        ):
+            reader, writer = await asyncio.open_connection(*proxy.address)
+            await client(proxy, reader, writer)
             writer.close()
         server.close()
-        assert not box.connections
+        assert not proxy.connections
         with pytest.raises(OSError):
-            await asyncio.open_connection(*box.address)
-        return box
+            await asyncio.open_connection(*proxy.address)
+        return proxy
 
     return uvloop.run(main())
 
@@ -147,66 +156,66 @@
     writer.close()
 
 
-def test_without_rules_all_passes_and_a_half_close_is_one() -> None:
-    async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_without_rules_bytes_and_half_close_pass_unchanged() -> None:
+    async def client(proxy: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         data = Random(1).randbytes(2_000_000)
-        asking = asyncio.create_task(reader.readexactly(len(data)))
+        reading = asyncio.create_task(reader.readexactly(len(data)))
         writer.write(data)
-        assert await asking == data
+        assert await reading == data
         writer.write_eof()
         assert await reader.read(-1) == b"over\r\n"
 
-    through(Script(), scene, echo)
+    run_through_proxy(Script(), client, echo)
 
 
-def test_a_half_close_in_the_middle_of_a_line_lets_the_other_way_go_on() -> None:
-    async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_a_half_close_within_a_line_leaves_the_other_direction_open() -> None:
+    async def client(proxy: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"whole\r\nhalf of it\r\n")
         assert await reader.read(-1) == b"whole\r\nhalover\r\n"
 
-    through(Script((Rule(act="half-close", way="up", after_bytes=10),)), scene, echo)
+    run_through_proxy(Script((Rule(act="half-close", way="up", after_bytes=10),)), client, echo)
 
 
-def test_a_reset_with_bytes_unread_is_a_reset_on_both_sides() -> None:
-    ends: list[BaseException | None] = []
+def test_a_reset_with_unread_bytes_resets_both_sides() -> None:
+    errors: list[BaseException | None] = []
 
-    async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def read_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.3)
         try:
             await reader.read(-1)
-        except ConnectionError as fault:
-            ends.append(fault)
+        except ConnectionError as error:
+            errors.append(error)
         writer.close()
 
-    async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def client(proxy: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"x" * 5000)
         with pytest.raises(ConnectionResetError):
             await reader.readexactly(1)
         await asyncio.sleep(0.4)
 
-    through(Script((Rule(act="reset", after_bytes=4000),)), scene, deaf)
-    assert len(ends) == 1
+    run_through_proxy(Script((Rule(act="reset", after_bytes=4000),)), client, read_late)
+    assert len(errors) == 1
 
 
-def test_a_delay_that_grows_outlasts_a_client_that_gives_up() -> None:
-    async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_a_growing_delay_exceeds_the_timeout_of_a_client() -> None:
+    async def client(proxy: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
-        spans = []
+        durations = []
         for _ in range(4):
             began = loop.time()
             writer.write(b"ask\r\n")
             await reader.readline()
-            spans.append(loop.time() - began)
-        assert all(0.05 * i - 0.01 <= span < 0.05 * i + 0.5 for i, span in enumerate(spans))
+            durations.append(loop.time() - began)
+        assert all(0.05 * i - 0.01 <= duration < 0.05 * i + 0.5 for i, duration in enumerate(durations))
         writer.write(b"ask\r\n")
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.15):
                 await reader.readline()
 
-    through(Script((Rule(act="delay", way="down", grow=0.05),)), scene, echo)
+    run_through_proxy(Script((Rule(act="delay", way="down", grow=0.05),)), client, echo)
 
 
-def test_a_reader_that_stalls_holds_the_writer_and_memory_stays_flat() -> None:
+def test_a_reader_that_stalls_stops_the_writer_and_buffers_stay_bounded() -> None:
     async def flood(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(ConnectionError):
             for _ in range(2000):
@@ -216,31 +225,31 @@
 
     sent: list[bool] = []
 
-    async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def client(proxy: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.5)
-        (link,) = box.connections
-        assert link.client.transport is not None
-        assert link.down.queued_bytes <= 5 * MAX_BUFFERED_BYTES and not sent
-        assert link.client.transport.get_write_buffer_size() <= 5 * MAX_BUFFERED_BYTES
+        (connection,) = proxy.connections
+        assert connection.client.transport is not None
+        assert connection.down.queued_bytes <= 5 * MAX_BUFFERED_BYTES and not sent
+        assert connection.client.transport.get_write_buffer_size() <= 5 * MAX_BUFFERED_BYTES
 
-    through(Script(), scene, flood)
+    run_through_proxy(Script(), client, flood)
 
 
-def test_a_rate_is_held_and_a_refused_connection_is_reset() -> None:
-    async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_a_rate_is_kept_and_a_refused_connection_is_reset() -> None:
+    async def client(proxy: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         began = asyncio.get_running_loop().time()
         writer.write(b"x" * 5000)
         await reader.readexactly(5000)
         assert 0.4 < asyncio.get_running_loop().time() - began < 2.0
-        other, _ = await asyncio.open_connection(*box.address)
+        other, _ = await asyncio.open_connection(*proxy.address)
         with pytest.raises(ConnectionResetError):
             await other.readexactly(1)
 
     rules = (Rule(act="rate", way="down", bytes_per_second=10_000), Rule(act="refuse", first=1))
-    through(Script(rules), scene, echo)
+    run_through_proxy(Script(rules), client, echo)
 
 
-def test_fifty_connections_in_another_order_leave_the_same_trace() -> None:
+def test_fifty_connections_in_another_order_give_the_same_trace() -> None:
     script = Script(
         (
             Rule(act="delay", seconds=0.001, jitter=0.004),
@@ -250,10 +259,10 @@
         known_by="first-line",
     )
 
-    def once(order: int) -> str:
-        async def one(box: FaultProxy, number: int) -> None:
+    def run(order: int) -> str:
+        async def one(proxy: FaultProxy, number: int) -> None:
             with suppress(ConnectionError):
-                reader, writer = await asyncio.open_connection(*box.address)
+                reader, writer = await asyncio.open_connection(*proxy.address)
                 for line in range(6):
                     writer.write(b"OPEN %d k d=%d\r\n" % (number, line))
                     await reader.readline()
@@ -261,13 +270,15 @@
                 await reader.read(-1)
                 writer.close()
 
-        async def scene(box: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def client(
+            proxy: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             numbers = list(range(50))
             Random(order).shuffle(numbers)
-            await asyncio.gather(*(one(box, number) for number in numbers))
+            await asyncio.gather(*(one(proxy, number) for number in numbers))
 
-        return through(script, scene, echo).trace()
+        return run_through_proxy(script, client, echo).trace()
 
-    first = once(1)
-    assert first == once(2) and first.count("\n") > 500
+    first = run(1)
+    assert first == run(2) and first.count("\n") > 500
     assert "garble" in first and "reset" in first
