--- a/pointgw/state/snapshot_store.py
+++ b/pointgw/state/snapshot_store.py
@@ -18,7 +18,9 @@
 from pointgw.state.snapshot_format import MAX_FILE_BYTES, DamagedSnapshotError, NewerVersionError, decode
 
 KEPT_GENERATIONS = 2
-FILE_PREFIX, TEMPORARY_NAME, LOCK_NAME = "state.", "state-new", "owner"
+FILE_PREFIX = "state."  # before the number of the generation
+TEMPORARY_NAME = "state-new"  # of a generation until it is synced
+LOCK_NAME = "owner"  # lock file, whose text names the process
 FILE_MODE = 0o600
 
 
