--- a/pointgw/fault_proxy/schedule.py
+++ b/pointgw/fault_proxy/schedule.py
@@ -15,8 +15,8 @@
 
 from pointgw.fault_proxy.script import CONNECTION_ACTS, CONTINUOUS_ACTS, LINE_ACTS, Rule, Script
 
-MAX_HELD_BYTES = 64 * 1024  # of a line to be modified; a longer one is forwarded as it is
-NEWLINE = 10
+MAX_HELD_BYTES = 64 * 1024  # of a line to be modified; a longer one is forwarded unchanged
+NEWLINE = 10  # value of b"\n"
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
         self.delayed_lines = 0  # lines delayed so far
 
     def change_phase(self, phase: RulePhase) -> None:
-        """Raises ValueError if the rule is exhausted."""
+        """Changes the phase. Raises ValueError if the rule is exhausted."""
         if self.phase is RulePhase.EXHAUSTED:
             raise ValueError(f"rule {self.number} is exhausted")
         self.phase = phase
--- a/pointgw/state/records.py
+++ b/pointgw/state/records.py
@@ -10,11 +10,11 @@
 ServerState = Literal["active", "leaving", "left"]
 
 
-class Struct(msgspec.Struct, frozen=True, array_like=True):
+class StoredStruct(msgspec.Struct, frozen=True, array_like=True):
     """Base of the stored types, encoded as an array: compact; new fields may be added at the end."""
 
 
-class ServerRecord(Struct, frozen=True, array_like=True):
+class ServerRecord(StoredStruct, frozen=True, array_like=True):
     """What discovery reported about one server, and when this was last confirmed."""
 
     name: str
@@ -35,7 +35,7 @@
         return self.state != "active"
 
 
-class ServerHealth(Struct, frozen=True, array_like=True):
+class ServerHealth(StoredStruct, frozen=True, array_like=True):
     """Ejection and slow-start state of one server, from own traffic."""
 
     name: str
@@ -46,7 +46,7 @@
     budget_updated_at: float
 
 
-class LearnedFigures(Struct, frozen=True, array_like=True):
+class LearnedFigures(StoredStruct, frozen=True, array_like=True):
     """Estimates that the policy has learned about all servers."""
 
     c: float
@@ -57,14 +57,14 @@
     slow_start_rate: float
 
 
-class ServerLifetimes(Struct, frozen=True, array_like=True):
+class ServerLifetimes(StoredStruct, frozen=True, array_like=True):
     """Observed lifetimes of servers of this list, to which the age of a record is compared."""
 
     ended_count: int = 0
     total_seconds: float = 0.0
 
 
-class Snapshot(Struct, frozen=True, array_like=True):
+class Snapshot(StoredStruct, frozen=True, array_like=True):
     """The contents of one generation."""
 
     fingerprint: str  # of the installation, see `installation_fingerprint`
--- a/pointgw/state/restore.py
+++ b/pointgw/state/restore.py
@@ -103,14 +103,14 @@
     def snapshot_records(self, now: float) -> tuple[ServerRecord, ...]:
         """Records for a snapshot: at most `MAX_RECORDS`, none inactive for `INACTIVE_RETENTION_SECONDS`."""
         records = [
-            msgspec.structs.replace(f, confirmed_at=max(f.confirmed_at, self.discovery_answered_at))
-            if not f.is_inactive
-            else f
-            for f in self.records.values()
-            if not f.is_inactive or abs(now - f.confirmed_at) < INACTIVE_RETENTION_SECONDS
+            msgspec.structs.replace(record, confirmed_at=max(record.confirmed_at, self.discovery_answered_at))
+            if not record.is_inactive
+            else record
+            for record in self.records.values()
+            if not record.is_inactive or abs(now - record.confirmed_at) < INACTIVE_RETENTION_SECONDS
         ]
         if len(records) > MAX_RECORDS:
-            records = sorted(records, key=lambda f: (f.is_inactive, -f.confirmed_at, f.name))[:MAX_RECORDS]
+            records = sorted(records, key=lambda r: (r.is_inactive, -r.confirmed_at, r.name))[:MAX_RECORDS]
         return tuple(records)
 
 
@@ -121,7 +121,7 @@
     membership: MembershipView
     entries: tuple[ServerEntry, ...]
     addresses: tuple[tuple[str, str, int], ...]
-    stale: frozenset[str]
+    stale: frozenset[str]  # servers whose records are stale
     health: tuple[ServerHealth, ...]
     learned: LearnedFigures | None
     status_counts: dict[str, int]  # by value of `RecordStatus`
@@ -133,7 +133,7 @@
 def records_from_list(
     entries: Iterable[ServerEntry], addresses: Iterable[tuple[str, str, int]]
 ) -> list[ServerRecord]:
-    """The start-up file's list as records. They count as unconfirmed, as the list's age isn't known."""
+    """The start-up file's list as records; never confirmed, as the age of the list isn't known."""
     address_of = {name: (host, port) for name, host, port in addresses}
     return [
         ServerRecord(
--- a/pointgw/state/snapshot_store.py
+++ b/pointgw/state/snapshot_store.py
@@ -94,7 +94,7 @@
         return LoadResult(None, 0, tuple(damaged))
 
     def save(self, data: bytes) -> int:
-        """Writes and syncs a new generation; returns its bytes. Older ones stay if it raises OSError."""
+        """Writes and syncs a new generation; returns its size in bytes. On OSError older ones stay."""
         folder = self._open_folder()
         try:
             with suppress(FileNotFoundError):
