--- a/pointgw/cluster/node.py
+++ b/pointgw/cluster/node.py
@@ -19,11 +19,10 @@
 from pointgw.cluster.observations import ZoneEstimate, ZoneObservation, ZoneObservations
 from pointgw.cluster.plan import Plan, ProfileCosts, RegionLinks
 
-CLOSE_BELOW, REOPEN_ABOVE = (
-    0.1,
-    0.3,
-)  # of what a zone can do when warm: room under which it is closed, over which opened
-CLOSE_PERIODS, REOPEN_PERIODS = 2, 16  # periods for which it must be so
+CLOSE_BELOW = 0.1  # share of a zone's warm capacity; with less available it should be closed
+REOPEN_ABOVE = 0.3  # share of a zone's warm capacity; with more available it may be opened again
+CLOSE_PERIODS = 2  # periods that a zone has to be below CLOSE_BELOW
+REOPEN_PERIODS = 16  # periods that a closed zone has to be above REOPEN_ABOVE
 VOTE_FANOUT = 3  # others that hear at once of a vote that has changed
 MIN_VOTE_INTERVAL = 0.25  # of a period: the shortest time between two such words
 
