--- a/pointgw/cluster/plan.py
+++ b/pointgw/cluster/plan.py
@@ -21,10 +21,8 @@
 ROUNDS_PER_RING = 4  # of sharing what is left of a ring among those that want it
 MIN_LOAD = 1e-6  # mean servers that are not worth placing
 SHARE_DEADBAND = 0.03  # of a profile's traffic: a share that differs by less is left as it is
-RATE_AWAY, RATE_HOME = (
-    2.0,
-    0.15,
-)  # of a profile's traffic a second: the quickest change away from home, and back
+RATE_AWAY = 2.0  # largest change per second of a profile's shares away from its own zone
+RATE_HOME = 0.15  # the same, where the share of its own zone grows
 MAX_DELAY_SHARE = 0.5  # of the setup goal that a way may take up
 
 Shares = tuple[
