--- a/pointgw/cluster/wire.py
+++ b/pointgw/cluster/wire.py
@@ -20,7 +20,8 @@
 import msgspec
 
 MAX_DATAGRAM_BYTES = 256  # bytes of a datagram, as the platform has it
-MAGIC, VERSION = b"pg", 1
+MAGIC = b"pg"
+VERSION = 1
 HEADER_BYTES = len(MAGIC) + 2  # and the signature after it
 SIGNATURE_BYTES = 16
 MAX_MEMBERS = 1024
