--- a/pointgw/recovery/phase.py
+++ b/pointgw/recovery/phase.py
@@ -14,7 +14,8 @@
 from pointgw.interface import Profile
 
 KNOWN_SHARE = 0.5  # of the servers: heard, so that it is known what stands
-ENTER_COLD_SHARE, LEAVE_COLD_SHARE = 0.25, 0.1  # of the servers in use: cold ones
+ENTER_COLD_SHARE = 0.25  # cold servers as a share of those in use: from here on the phase is filling
+LEAVE_COLD_SHARE = 0.1  # the same: at or under it filling ends; lower, so that the phase does not flap
 MIN_FILLING_TIME = 0.25  # of the warm-up: how long it is filling at least
 RETURNING_BONUS = 1e-6  # of the credit: who comes back goes first among equals
 MAX_FINDING_TIME = 1.0  # of the warm-up: how long a balancer looks for servers before it counts what it has
