--- a/benchmarks/filling_size.py
+++ b/benchmarks/filling_size.py
@@ -26,10 +26,10 @@
 class Liar(Leases):
     """Says yes to all that may borrow of it, and goes without nothing."""
 
-    def asked(self, borrower: int, now: float) -> bool:
+    def receive_request(self, borrower: int, now: float) -> bool:
         return True
 
-    def part(self, now: float) -> float:
+    def budget_share(self, now: float) -> float:
         return 1.0
 
 
