--- a/pointgw/cluster/wire.py
+++ b/pointgw/cluster/wire.py
@@ -1,13 +1,13 @@
-"""One datagram between balancers, at most 256 bytes.
+"""Encoding of one datagram between balancers, at most 256 bytes.
 
     "pg" VERSION KEY | 16 bytes of keyed BLAKE2b over all the rest | MessagePack of a `Packet`
 
-KEY is a byte that tells which of two keys signed it (0: none, on loopback alone). What does not verify is not
-read further. A packet names the runs of both ends: a run is 63 bits of chance, new with each start. What a
-packet tells is believed only where it names the receiver's own run, so that yesterday's datagrams, and those
-meant for a process that is gone, tell nothing; within a run a sequence number does the same. No clock is
-told.
-Sources: RFC 7693 (BLAKE2), the SWIM paper (Das, Gupta, Motivala, 2002) for what is piggy-backed.
+KEY is a byte that identifies which of two keys signed the datagram (0: unsigned, accepted on loopback only).
+The body is decoded only after the signature is verified. A packet names the runs of both ends; a run ID is
+63 random bits, new with each start of a process. The contents of a packet are accepted only if it names the
+receiver's present run, so that datagrams recorded earlier, or sent to a process that has ended, have no
+effect; within a run a sequence number gives the same protection. No clock time is transmitted.
+Sources: RFC 7693 (BLAKE2); Das, Gupta, Motivala, "SWIM" (2002) for the piggybacked updates.
 """
 
 from __future__ import annotations
@@ -19,27 +19,26 @@
 
 import msgspec
 
-MAX_DATAGRAM_BYTES = 256  # bytes of a datagram, as the platform has it
+MAX_DATAGRAM_BYTES = 256  # the platform's limit
 MAGIC = b"pg"
 VERSION = 1
-HEADER_BYTES = len(MAGIC) + 2  # and the signature after it
+HEADER_BYTES = len(MAGIC) + 2  # magic, version and key ID; the signature follows
 SIGNATURE_BYTES = 16
 MAX_MEMBERS = 1024
-MAX_INT63 = 2**63 - 1  # what the decoder can bound
+MAX_INT63 = 2**63 - 1  # the largest bound that the decoder can check
 
-MemberIndex = Annotated[
-    int, msgspec.Meta(ge=0, lt=MAX_MEMBERS)
-]  # of a balancer, by its place among the peers
+MemberIndex = Annotated[int, msgspec.Meta(ge=0, lt=MAX_MEMBERS)]  # position in the list of peers
 UInt32 = Annotated[int, msgspec.Meta(ge=0, lt=2**32)]
 RunId = Annotated[int, msgspec.Meta(ge=0, le=MAX_INT63)]
 UInt16 = Annotated[int, msgspec.Meta(ge=0, lt=2**16)]
 ZoneIndex = Annotated[int, msgspec.Meta(ge=0, lt=63)]
 Code = Literal[0, 1, 2, 3]
+# Kinds of packets.
 PING: Code = 0
 ACK: Code = 1
-PING_REQ: Code = 2  # ping another for me
-HELLO: Code = 3  # who are you; it tells nothing else
-# States of a member, as `members.State` has them.
+PING_REQ: Code = 2  # asks the receiver to ping `target` on the sender's behalf
+HELLO: Code = 3  # asks for the receiver's run ID; carries no updates, observations or vote
+# States of a member, as in `members.MemberState`.
 ALIVE: Code = 0
 SUSPECT: Code = 1
 DEAD: Code = 2
@@ -47,57 +46,59 @@
 
 
 class ArrayStruct(msgspec.Struct, frozen=True, array_like=True):
-    """Written as an array: short. Later versions may add fields at the end, which are skipped here."""
+    """Base of the types on the wire: encoded as an array, to be short. Later versions may append fields,
+    which this version skips."""
 
 
 class MemberUpdate(ArrayStruct, frozen=True, array_like=True):
-    """What is said of one member."""
+    """A membership update about one member."""
 
     member: MemberIndex
     state: Code
     incarnation: UInt32
-    reporter: MemberIndex  # who says so first
+    reporter: MemberIndex  # the member that reported this state first
 
 
 class ObservationEntry(ArrayStruct, frozen=True, array_like=True):
-    """What one balancer sees of one zone. Amounts are thousandths of what a mean, warm server can do."""
+    """What one balancer observes of one zone. Capacities and loads are in thousandths of an average warm
+    server's capacity."""
 
     origin: MemberIndex
-    origin_run: UInt32  # the low half of the origin's run: an earlier process's facts end with it
-    version: UInt32  # of the origin's facts; a newer one replaces the former
+    origin_run: UInt32  # low 32 bits of the origin's run ID; entries of an earlier process are dropped by it
+    version: UInt32  # counts the origin's observations; a higher one replaces a lower one
     zone: ZoneIndex
     age: UInt16  # hundredths of a second
-    capacity: UInt32  # what the zone's ready servers can do now; cold ones count with what they can yet
-    warm_capacity: UInt32  # what all of them can do once they are warm
-    load: UInt32  # what is asked of them, as their reports tell
-    open_tunnels: UInt32 = 0  # tunnels that the origin's own clients have, if this is its zone
-    demand: tuple[UInt32, ...] = ()  # the same by profile, with those that wait or were turned away just now
+    capacity: UInt32  # what the zone's ready servers can take now; cold ones count with their present share
+    warm_capacity: UInt32  # the same once all of them are warm
+    load: UInt32  # load of these servers by their reports
+    open_tunnels: UInt32 = 0  # open tunnels of the origin's clients, if this is the origin's zone
+    demand: tuple[UInt32, ...] = ()  # tunnels by profile: open, waiting or declined within the last moments
 
 
 class Vote(ArrayStruct, frozen=True, array_like=True):
-    """Which zones are to be closed, as one balancer holds it, and who has promised it (`agreement`)."""
+    """A proposal of which zones to close, with the promises known to its holder (see `agreement`)."""
 
     term: UInt32
     proposer: MemberIndex
-    closed_zones: Annotated[int, msgspec.Meta(ge=0, le=MAX_INT63)]  # zones as bits
-    promises: Annotated[bytes, msgspec.Meta(max_length=MAX_MEMBERS // 8)] = b""  # members as bits
-    is_agreed: bool = False  # a majority had promised; who hears it need not count
+    closed_zones: Annotated[int, msgspec.Meta(ge=0, le=MAX_INT63)]  # bit set of zones
+    promises: Annotated[bytes, msgspec.Meta(max_length=MAX_MEMBERS // 8)] = b""  # bit set of members
+    is_agreed: bool = False  # a majority had promised; the receiver need not count the promises
 
 
 class Packet(ArrayStruct, frozen=True, array_like=True):
-    """All that one datagram says."""
+    """The body of a datagram."""
 
     kind: Code
     sender: MemberIndex
     receiver: MemberIndex
-    sender_run_id: RunId  # the sender's
-    receiver_run_id: RunId  # the receiver's, as the sender has it; 0: not known
+    sender_run_id: RunId
+    receiver_run_id: RunId  # as the sender knows it; 0: unknown
     sequence: UInt32
-    region_map_digest: UInt32  # digest of the region map: who differs is told of, and not acted on
-    zone: ZoneIndex = 0  # the sender's
-    target: MemberIndex = 0  # ASK: whom to ping; ACK: who answered
+    region_map_digest: UInt32  # differing maps are reported, and votes of such senders are ignored
+    zone: ZoneIndex = 0  # the sender's zone
+    target: MemberIndex = 0  # PING_REQ: the member to ping; ACK: the member that answered
     nonce: UInt32 = 0
-    incarnation: UInt32 = 0
+    incarnation: UInt32 = 0  # the sender's
     updates: Annotated[tuple[MemberUpdate, ...], msgspec.Meta(max_length=32)] = ()
     observations: Annotated[tuple[ObservationEntry, ...], msgspec.Meta(max_length=16)] = ()
     vote: Vote | None = None
@@ -108,36 +109,38 @@
 
 
 class RefusedDatagramError(Exception):
-    """A datagram that is no sound packet; its text is one of a few words, for counting."""
+    """A datagram was refused; the text is one of a few fixed reasons, and serves as the name of a counter."""
 
 
 @dataclass(frozen=True, slots=True)
 class Keys:
-    """The keys in force: the first signs, each verifies. None: unsigned, on loopback alone."""
+    """The shared keys: the first one signs, any of them verifies. With none, datagrams are unsigned, and
+    accepted on loopback only."""
 
     keys: tuple[bytes, ...] = ()
 
     def encode(self, packet: Packet) -> bytes:
-        """Raises `ValueError` where it would be too long."""
+        """Encodes and signs. Raises `ValueError` if the datagram would be too long."""
         return self.sign_body(_encoder.encode(packet))
 
     def sign_body(self, body: bytes, magic: bytes = MAGIC) -> bytes:
-        which = _key_id(self.keys[0]) if self.keys else 0
-        head = magic + bytes((VERSION, which))
+        """Puts header and signature before a body. Raises `ValueError` if the result is too long."""
+        key_id = _key_id(self.keys[0]) if self.keys else 0
+        head = magic + bytes((VERSION, key_id))
         data = head + _signature(self.keys[0] if self.keys else b"", head, body) + body
         if len(data) > MAX_DATAGRAM_BYTES:
-            raise ValueError(f"a datagram of {len(data)} bytes, at most {MAX_DATAGRAM_BYTES} may be sent")
+            raise ValueError(f"datagram has {len(data)} bytes, maximum is {MAX_DATAGRAM_BYTES}")
         return data
 
     def decode(self, data: bytes) -> Packet:
-        """Raises `RefusedDatagramError`. Nothing of the body is read before the signature holds."""
+        """Verifies, then decodes. Raises `RefusedDatagramError`."""
         try:
             return _decoder.decode(self.verify_body(data))
         except (msgspec.DecodeError, UnicodeDecodeError):
             raise RefusedDatagramError("malformed") from None
 
     def verify_body(self, data: bytes, magic: bytes = MAGIC) -> bytes:
-        """The body, its signature verified. Raises `RefusedDatagramError`."""
+        """Returns the body once its signature is verified. Raises `RefusedDatagramError`."""
         if len(data) > MAX_DATAGRAM_BYTES:
             raise RefusedDatagramError("too long")
         if len(data) < HEADER_BYTES + SIGNATURE_BYTES or data[:2] != magic:
@@ -158,7 +161,7 @@
 
 
 def _key_id(key: bytes) -> int:
-    """A byte that tells keys apart; never 0."""
+    """A byte that tells keys apart; never 0, which stands for unsigned."""
     return 1 + blake2b(key, digest_size=2, person=b"which key").digest()[0] % 255
 
 
@@ -167,14 +170,15 @@
 
 
 def encoded_size(packet: Packet) -> int:
-    """Bytes of the datagram that says this."""
+    """Length in bytes of the datagram that carries this packet."""
     return HEADER_BYTES + SIGNATURE_BYTES + len(_encoder.encode(packet))
 
 
 def text_digest(text: str) -> int:
+    """A 32-bit digest."""
     return int.from_bytes(blake2b(text.encode(), digest_size=4).digest(), "big")
 
 
 def encode_part(part: ArrayStruct) -> bytes:
-    """A part of a packet, as it is in the datagram: for its length."""
+    """Encodes a part of a packet as in the datagram; its length is what matters."""
     return _encoder.encode(part)
