--- a/pointgw/cluster/node.py
+++ b/pointgw/cluster/node.py
@@ -1,8 +1,8 @@
-"""One balancer's part in the tier: members, facts, accord and plan joined. No I/O, no clock.
+"""One balancer's cluster node: joins membership, observations, agreement and plan. No I/O, no clock.
 
-Bytes in, bytes out: `receive` takes a datagram, `timer_due` is called by the clock, both give what is to be
-sent. All that goes out passes one ceiling, in datagrams and in bytes a second, the same at any size of the
-tier: what is over it is not sent, and counted."""
+`receive` takes a datagram, `timer_due` is called by a timer; both return the datagrams to send. All of them
+pass one rate limit, in datagrams and in bytes per second, the same at any size of the cluster; what exceeds
+it is dropped and counted."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 REOPEN_ABOVE = 0.3  # share of a zone's warm capacity; with more available it may be opened again
 CLOSE_PERIODS = 2  # periods that a zone has to be below CLOSE_BELOW
 REOPEN_PERIODS = 16  # periods that a closed zone has to be above REOPEN_ABOVE
-VOTE_FANOUT = 3  # others that hear at once of a vote that has changed
-MIN_VOTE_INTERVAL = 0.25  # of a period: the shortest time between two such words
+VOTE_FANOUT = 3  # random members that receive a changed vote at once
+MIN_VOTE_INTERVAL = 0.25  # of a period: shortest interval between two such broadcasts
 
-Datagrams = list[tuple[int, bytes]]
+Datagrams = list[tuple[int, bytes]]  # receiver's index, bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterSettings:
-    """What the operators say of the tier."""
+    """Settings of the cluster from the operators' file and the start-up file."""
 
     own_index: int
     member_count: int
@@ -39,18 +39,18 @@
     zone_count: int
     profile_costs: tuple[ProfileCosts, ...]
     links: RegionLinks
-    region_map_digest: int  # digest of the map
-    period: float = 0.25
-    max_datagrams_per_second: float = 80.0  # a second, at most
-    max_bytes_per_second: float = 16_000.0  # bytes a second, at most
-    evacuated_zones: int = 0  # zones as bits
+    region_map_digest: int
+    period: float = 0.25  # seconds
+    max_datagrams_per_second: float = 80.0
+    max_bytes_per_second: float = 16_000.0
+    evacuated_zones: int = 0  # bit set
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """What may go out: so much a second, and one second's worth at once."""
+    """A token bucket that holds at most one second's worth of tokens."""
 
-    rate: float
+    rate: float  # tokens per second
     tokens: float = 0.0
     updated_at: float = 0.0
 
@@ -58,6 +58,7 @@
         self.tokens = self.rate
 
     def try_consume(self, amount: float, now: float) -> bool:
+        """Takes the amount if that many tokens are there; False if not."""
         self.tokens = min(self.rate, self.tokens + (now - self.updated_at) * self.rate)
         self.updated_at = now
         if self.tokens < amount:
@@ -68,6 +69,8 @@
 
 @dataclass(slots=True)
 class ClusterNode:
+    """The node of one balancer."""
+
     settings: ClusterSettings
     keys: wire.Keys
     rng: Random
@@ -78,53 +81,55 @@
     plan: Plan = field(init=False)
     planned_at: float = field(init=False)
     observed_at: float = -inf
-    broadcast_vote: wire.Vote | None = None  # what others were told at once
+    broadcast_vote: wire.Vote | None = None  # the last vote that was broadcast
     broadcast_at: float = -inf
-    refused_evacuation: tuple[float, float] | None = (
-        None  # an evacuation: what is needed, and what the rest can bear
-    )
+    # Of an evacuation that is not proposed: the demand, and the capacity of the remaining zones.
+    refused_evacuation: tuple[float, float] | None = None
     counters: Counter[str] = field(default_factory=Counter)
     datagram_bucket: TokenBucket = field(init=False)
     byte_bucket: TokenBucket = field(init=False)
-    short_since: dict[int, float] = field(default_factory=dict)  # zones: since when they have no room
-    recovered_since: dict[int, float] = field(
-        default_factory=dict
-    )  # zones that are closed: since when they have
+    # By zone: since when it has less, or more, capacity than the bounds above.
+    short_since: dict[int, float] = field(default_factory=dict)
+    recovered_since: dict[int, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        told = self.settings
-        run = self.rng.getrandbits(63) + 1
+        settings = self.settings
+        run_id = self.rng.getrandbits(63) + 1
         self.members = Members(
-            told.own_index,
-            told.member_count,
-            told.zone,
-            run,
-            told.region_map_digest,
+            settings.own_index,
+            settings.member_count,
+            settings.zone,
+            run_id,
+            settings.region_map_digest,
             self.rng,
-            told.period,
+            settings.period,
             next_period_at=self.now,
         )
-        self.observations = ZoneObservations(self.members, told.zone_count, len(told.profile_costs))
+        self.observations = ZoneObservations(self.members, settings.zone_count, len(settings.profile_costs))
         self.agreement = Agreement(self.members, self.rng, self.now)
-        self.plan, self.planned_at = plan.local_plan(told.zone_count, len(told.profile_costs)), self.now
+        self.plan, self.planned_at = (
+            plan.local_plan(settings.zone_count, len(settings.profile_costs)),
+            self.now,
+        )
         self.datagram_bucket, self.byte_bucket = (
-            TokenBucket(told.max_datagrams_per_second, updated_at=self.now),
-            TokenBucket(told.max_bytes_per_second, updated_at=self.now),
+            TokenBucket(settings.max_datagrams_per_second, updated_at=self.now),
+            TokenBucket(settings.max_bytes_per_second, updated_at=self.now),
         )
 
-    # In and out.
+    # Datagrams and timers.
 
     def receive(self, data: bytes, now: float) -> Datagrams:
+        """Handles a datagram."""
         try:
             packet = self.keys.decode(data)
-        except wire.RefusedDatagramError as why:
-            self.counters[f"refused: {why}"] += 1
+        except wire.RefusedDatagramError as refusal:
+            self.counters[f"refused: {refusal}"] += 1
             return []
-        answers, believed = self.members.receive(packet, now)
-        if believed:
+        answers, accepted = self.members.receive(packet, now)
+        if accepted:
             self.counters["heard"] += 1
-            for fact in packet.observations:
-                self.observations.receive(fact, now)
+            for entry in packet.observations:
+                self.observations.receive(entry, now)
             if packet.vote is not None and packet.region_map_digest == self.settings.region_map_digest:
                 self.agreement.receive_vote(packet.vote, now)
         else:
@@ -132,13 +137,14 @@
         return self._encode_packets(answers, now) + self._broadcast_changed_vote(now)
 
     def timer_due(self, now: float) -> Datagrams:
+        """Runs what is due of membership and plan."""
         out = self._encode_packets(self.members.timer_due(now), now)
         if now >= self.planned_at + self.settings.period:
             self._update_plan(now)
         return out + self._broadcast_changed_vote(now)
 
     def _broadcast_changed_vote(self, now: float) -> Datagrams:
-        """A vote that has changed is passed on at once, so that it comes round in a few steps at any size."""
+        """Sends a changed vote at once, so that it reaches all members in a few hops at any size."""
         vote = self.agreement.vote_to_send()
         if vote == self.broadcast_vote or now < self.broadcast_at + MIN_VOTE_INTERVAL * self.settings.period:
             return []
@@ -146,16 +152,18 @@
         return self._encode_packets(self.members.packets_to_random_peers(VOTE_FANOUT), now)
 
     def next_timer_at(self, now: float) -> float:
+        """When `timer_due` has to be called at the latest."""
         return max(now, min(self.members.next_timer_at(now), self.planned_at + self.settings.period))
 
-    def observe(self, seen: tuple[ZoneObservation, ...], now: float) -> None:
-        """What this balancer sees. In a large tier told anew every other period: others' facts want room."""
+    def observe(self, observations: tuple[ZoneObservation, ...], now: float) -> None:
+        """Records this balancer's own observations, unless the last ones are recent. In a large cluster every
+        second period is enough, to leave space in datagrams for the entries of others."""
         if self.observation_is_due(now):
             self.observed_at = now
-            self.observations.record_own(seen, now)
+            self.observations.record_own(observations, now)
 
     def observation_is_due(self, now: float) -> bool:
-        """Whether it is time to look again; before that nothing need be reckoned."""
+        """Whether `observe` would record; if not, observations need not be computed."""
         return (
             now
             >= self.observed_at
@@ -163,42 +171,47 @@
         )
 
     def leave(self, now: float) -> Datagrams:
+        """Announces an orderly stop."""
         return self._encode_packets(self.members.leave(), now)
 
-    def _encode_packets(self, sends: list[OutgoingPacket], now: float) -> Datagrams:
-        out: Datagrams = []
-        for to, packet in sends:
+    def _encode_packets(self, packets: list[OutgoingPacket], now: float) -> Datagrams:
+        """Fills in vote and observations, signs, and drops what exceeds the rate limit."""
+        datagrams: Datagrams = []
+        for receiver, packet in packets:
             if packet.kind != wire.HELLO:
                 packet = msgspec.structs.replace(packet, vote=self.agreement.vote_to_send())
-                spare = wire.MAX_DATAGRAM_BYTES - wire.encoded_size(packet) - 4  # a long list's head
-                if spare < 0:  # news gives way to the vote
+                spare_bytes = (
+                    wire.MAX_DATAGRAM_BYTES - wire.encoded_size(packet) - 4
+                )  # bytes: a longer array header
+                if spare_bytes < 0:  # the vote takes precedence over updates
                     packet = msgspec.structs.replace(packet, updates=packet.updates[:1])
-                    spare = wire.MAX_DATAGRAM_BYTES - wire.encoded_size(packet) - 4
+                    spare_bytes = wire.MAX_DATAGRAM_BYTES - wire.encoded_size(packet) - 4
                 packet = msgspec.structs.replace(
-                    packet, observations=self.observations.select_for_datagram(spare, now)
+                    packet, observations=self.observations.select_for_datagram(spare_bytes, now)
                 )
             data = self.keys.encode(packet)
             if self.datagram_bucket.try_consume(1.0, now) and self.byte_bucket.try_consume(len(data), now):
                 self.counters["sent"] += 1
                 self.counters["sent bytes"] += len(data)
-                out.append((to, data))
+                datagrams.append((receiver, data))
             else:
                 self.counters["over the ceiling"] += 1
-        return out
+        return datagrams
 
-    # What is to be done.
+    # Decisions.
 
     def zone_estimates(self, now: float) -> tuple[ZoneEstimate, ...]:
+        """Estimates of all zones from the observations of all members."""
         return self.observations.estimate_zones(now)
 
     def map_mismatch(self) -> bool:
-        """Others have another region map: told, and nothing is acted on while they are as many as the
-        rest."""
-        there = len(self.members.live_members()) - 1
-        return 2 * len(self.members.map_mismatches) > there
+        """Whether members with another region map are more than half of the live peers. If so, traffic stays
+        in its own zone."""
+        live_peers = len(self.members.live_members()) - 1
+        return 2 * len(self.members.map_mismatches) > live_peers
 
     def _update_plan(self, now: float) -> None:
-        span, self.planned_at = now - self.planned_at, now
+        elapsed, self.planned_at = now - self.planned_at, now
         self.observations.expire(now)
         zones = self.zone_estimates(now)
         self._propose_closed_zones(zones, now)
@@ -208,45 +221,48 @@
             target = plan.compute_plan(
                 zones, self.settings.profile_costs, self.settings.links, self._zones_to_close(zones)
             )
-        before = self.plan
-        self.plan = plan.step_toward(self.plan, target, min(span, 4 * self.settings.period))
-        self.counters["plan steps"] += self.plan.shares != before.shares
+        previous = self.plan
+        self.plan = plan.step_toward(self.plan, target, min(elapsed, 4 * self.settings.period))
+        self.counters["plan steps"] += self.plan.shares != previous.shares
 
     def _zones_to_close(self, zones: tuple[ZoneEstimate, ...]) -> int:
-        """What is agreed, as far as the own facts say that the rest can bear it: a zone with no room is
-        closed anyhow, by having none."""
+        """The agreed closed zones, if the others can bear the load by own observations. If not, only those of
+        them that have hardly any capacity, which receive next to nothing anyway."""
         closed = self.agreement.closed_zones
-        need, room = plan.demand_and_capacity(zones, closed)
-        empty = sum(
+        demand, capacity = plan.demand_and_capacity(zones, closed)
+        without_capacity = sum(
             1 << z for z, zone in enumerate(zones) if zone.capacity <= CLOSE_BELOW * zone.warm_capacity
         )
-        return closed if need <= room else closed & empty
+        return closed if demand <= capacity else closed & without_capacity
 
     def _propose_closed_zones(self, zones: tuple[ZoneEstimate, ...], now: float) -> None:
-        """Which zones should be closed, by the facts and the operators; asked of the others once it lasts."""
+        """Determines which zones should be closed, by observations that persist and by the operators, and
+        proposes them."""
         period, wanted = self.settings.period, 0
-        stands = sum(
+        with_room = sum(
             1 << z for z, zone in enumerate(zones) if zone.capacity > REOPEN_ABOVE * zone.warm_capacity > 0.0
         )
-        self.agreement.zones_with_room = stands & ~self.settings.evacuated_zones
+        self.agreement.zones_with_room = with_room & ~self.settings.evacuated_zones
         self.agreement.reconsider(now)
         for z, zone in enumerate(zones):
             closed = bool(self.agreement.closed_zones >> z & 1)
-            has = (
+            has_capacity = (
                 zone.origin_count > 0
                 and zone.capacity > (REOPEN_ABOVE if closed else CLOSE_BELOW) * zone.warm_capacity
                 and zone.warm_capacity > 0
             )
-            for marks, holds in ((self.short_since, not has), (self.recovered_since, has)):
+            for since, holds in ((self.short_since, not has_capacity), (self.recovered_since, has_capacity)):
                 if holds:
-                    marks.setdefault(z, now)
+                    since.setdefault(z, now)
                 else:
-                    marks.pop(z, None)
+                    since.pop(z, None)
             if closed:
                 wanted |= (now - self.recovered_since.get(z, now) < REOPEN_PERIODS * period) << z
             elif zone.origin_count:
                 wanted |= (now - self.short_since.get(z, now) >= CLOSE_PERIODS * period) << z
-        asked = self.settings.evacuated_zones | wanted
-        need, room = plan.demand_and_capacity(zones, asked)
-        self.refused_evacuation = (need, room) if self.settings.evacuated_zones and need > room else None
-        self.agreement.propose(asked if need <= room else wanted, now)
+        requested = self.settings.evacuated_zones | wanted
+        demand, capacity = plan.demand_and_capacity(zones, requested)
+        self.refused_evacuation = (
+            (demand, capacity) if self.settings.evacuated_zones and demand > capacity else None
+        )
+        self.agreement.propose(requested if demand <= capacity else wanted, now)
--- a/pointgw/cluster/plan.py
+++ b/pointgw/cluster/plan.py
@@ -1,14 +1,16 @@
-"""Where traffic goes: from what is known of the zones to shares over zones. Pure.
+"""Traffic plan: from estimates of the zones to the shares of traffic over zones. Pure functions.
 
-Water-filling in rings. Profiles of the highest credit first; within them each zone's own clients first, then
-the own region's zones, then other regions by the stated cost of the way. No zone is filled above a stated
-part of what its ready servers can do now; where all are full so, what is left over fills them to a higher
-one, in the same order. What no zone can bear then stays unplaced: its origin turns it away, and hands it on
-to nobody. A profile goes no way that takes up more than its setup goal can bear. All balancers with the same
-facts make the same plan; `differ` tells how far two plans are apart.
+Water-filling in rings of equal distance. Profiles of the highest credit are placed first; within them each
+zone's own clients go first to their own zone, then to zones of its region, then to other regions by the
+configured cost of the link. No zone is filled above a fixed share of its present capacity; if all zones are
+full to that, the rest fills them to a higher share, in the same order. Load that no zone can take stays
+unplaced: its origin declines it and hands it to no other zone. A profile does not use a link whose delay
+takes up too much of its attempt timeout. All balancers with the same observations compute the same plan;
+`Plan.max_difference` compares two plans.
 
-A plan is taken up in steps (`toward`): out of a zone quickly, back slowly, and not at all for small
-differences. A load held at the bound that swings by more than those is followed all the same."""
+A plan takes effect in steps (`step_toward`): quickly out of a zone, slowly back, and not at all for small
+differences. A load at the bound that fluctuates by more than those is followed all the same.
+"""
 
 from __future__ import annotations
 
@@ -16,54 +18,54 @@
 
 from pointgw.cluster.observations import ZoneEstimate
 
-TARGET_UTILISATION = 0.65  # of what a zone's ready servers can do: what is planned there at most
-SHORTAGE_UTILISATION = 0.78  # the same, where some would be turned away else
-ROUNDS_PER_RING = 4  # of sharing what is left of a ring among those that want it
-MIN_LOAD = 1e-6  # mean servers that are not worth placing
-SHARE_DEADBAND = 0.03  # of a profile's traffic: a share that differs by less is left as it is
+TARGET_UTILISATION = 0.65  # share of a zone's present capacity that is planned at most
+SHORTAGE_UTILISATION = 0.78  # the same, if load would be declined otherwise
+ROUNDS_PER_RING = 4  # rounds in which a ring's remaining capacity is divided
+MIN_LOAD = 1e-6  # average warm servers; less is not placed
+SHARE_DEADBAND = 0.03  # of a profile's traffic; shares that differ by less are left as they are
 RATE_AWAY = 2.0  # largest change per second of a profile's shares away from its own zone
 RATE_HOME = 0.15  # the same, where the share of its own zone grows
-MAX_DELAY_SHARE = 0.5  # of the setup goal that a way may take up
+MAX_DELAY_SHARE = 0.5  # of the attempt timeout that a link's delay may take up
 
-Shares = tuple[
-    float, ...
-]  # of one profile's traffic, by zone of servers; what is missing to 1 is turned away
+# Of one profile's traffic, by zone of servers; what is missing to 1 is declined.
+Shares = tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RegionLinks:
-    """What is between zones."""
+    """Regions of the zones, and the links between regions."""
 
-    region_of_zone: tuple[int, ...]  # of each zone
-    cost: dict[tuple[int, int], float]  # between two regions, either way round; absent: 1
-    delay: dict[tuple[int, int], float]  # seconds that a setup takes longer between two regions; absent: 0
+    region_of_zone: tuple[int, ...]  # by zone
+    cost: dict[tuple[int, int], float]  # of a link, by the lower and the higher region; absent: 1
+    delay: dict[tuple[int, int], float]  # seconds that a setup over the link takes longer; absent: 0
 
     def distance(self, origin: int, zone: int) -> float:
-        """How far a zone is: 0 the own, under 1 the own region, then by cost."""
+        """Distance of a zone: 0 for the own zone, 0.5 within the region, 1 + the link's cost beyond."""
         one, other = self.region_of_zone[origin], self.region_of_zone[zone]
         if origin == zone:
             return 0.0
         return 0.5 if one == other else 1.0 + self.cost.get((min(one, other), max(one, other)), 1.0)
 
     def extra_delay(self, origin: int, zone: int) -> float:
+        """Seconds that a setup in this zone takes longer."""
         one, other = self.region_of_zone[origin], self.region_of_zone[zone]
         return self.delay.get((min(one, other), max(one, other)), 0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class ProfileCosts:
-    """A profile, as the plan sees it."""
+    """What the plan needs of a profile."""
 
     credit: float
-    attempt_timeout: float
+    attempt_timeout: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """For each zone of origin and profile, the shares over zones."""
+    """The shares over zones, for each zone of origin and each profile."""
 
     shares: tuple[tuple[Shares, ...], ...]
-    closed_zones: int = 0  # zones as bits
+    closed_zones: int = 0  # bit set
 
     def max_difference(self, other: Plan) -> float:
         """The largest difference of any share."""
@@ -78,112 +80,128 @@
         )
 
 
-def local_plan(zones: int, kinds: int) -> Plan:
-    """All traffic in its own zone: where nothing is known."""
+def local_plan(zone_count: int, profile_count: int) -> Plan:
+    """The plan that keeps all traffic in its own zone."""
     return Plan(
-        tuple(tuple(tuple(float(w == z) for w in range(zones)) for _ in range(kinds)) for z in range(zones))
+        tuple(
+            tuple(tuple(float(w == z) for w in range(zone_count)) for _ in range(profile_count))
+            for z in range(zone_count)
+        )
     )
 
 
 def compute_plan(
-    zones: tuple[ZoneEstimate, ...], kinds: tuple[ProfileCosts, ...], ways: RegionLinks, closed: int = 0
+    zones: tuple[ZoneEstimate, ...],
+    profiles: tuple[ProfileCosts, ...],
+    links: RegionLinks,
+    closed_zones: int = 0,
 ) -> Plan:
-    """The plan that these facts give. A zone that none has told of has no room and needs nothing: its own
-    traffic stays at home, for its balancers to decide by their own eyes."""
-    count = len(zones)
-    placed = [[[0.0] * count for _ in kinds] for _ in zones]
-    rest = {(z, k): _demand(zones[z], k) for z in range(count) for k in range(len(kinds))}
-    rings = sorted({ways.distance(z, w) for z in range(count) for w in range(count)})
-    # Guards against clients that are turned away while servers could yet take them: a bound that is right
-    # for a day with room is too low for one without. It hurts where servers grow slow long before they are
-    # full.
-    for part in (TARGET_UTILISATION, SHORTAGE_UTILISATION - TARGET_UTILISATION):
-        left = [0.0 if closed >> z & 1 else part * zone.capacity for z, zone in enumerate(zones)]
-        for credit in sorted({kind.credit for kind in kinds}, reverse=True):
-            same = {at: need for at, need in rest.items() if kinds[at[1]].credit == credit}
+    """Computes the plan for these estimates. A zone without any entries has neither capacity nor demand: its
+    traffic stays in the zone, where its balancers decide by what they see themselves."""
+    zone_count = len(zones)
+    placed = [[[0.0] * zone_count for _ in profiles] for _ in zones]
+    unplaced = {(z, k): _demand(zones[z], k) for z in range(zone_count) for k in range(len(profiles))}
+    rings = sorted({links.distance(z, w) for z in range(zone_count) for w in range(zone_count)})
+    # Guards against clients being declined while servers could still take them: a bound that suits normal
+    # load is too low in a shortage. The cost: servers that slow down long before they are full are loaded
+    # more than is good.
+    for share in (TARGET_UTILISATION, SHORTAGE_UTILISATION - TARGET_UTILISATION):
+        available = [0.0 if closed_zones >> z & 1 else share * zone.capacity for z, zone in enumerate(zones)]
+        for credit in sorted({kind.credit for kind in profiles}, reverse=True):
+            same_credit = {
+                key: demand for key, demand in unplaced.items() if profiles[key[1]].credit == credit
+            }
             for ring in rings:
                 for _ in range(ROUNDS_PER_RING):
-                    if not _fill_ring(same, left, placed, kinds, ways, ring):
+                    if not _fill_ring(same_credit, available, placed, profiles, links, ring):
                         break
-            rest |= same
+            unplaced |= same_credit
     return Plan(
         tuple(
-            tuple(_to_shares(placed[z][k], _demand(zones[z], k), z, closed) for k in range(len(kinds)))
-            for z in range(count)
+            tuple(
+                _to_shares(placed[z][k], _demand(zones[z], k), z, closed_zones) for k in range(len(profiles))
+            )
+            for z in range(zone_count)
         ),
-        closed,
+        closed_zones,
     )
 
 
-def _demand(zone: ZoneEstimate, kind: int) -> float:
-    return zone.demand[kind] if kind < len(zone.demand) else 0.0
+def _demand(zone: ZoneEstimate, profile: int) -> float:
+    return zone.demand[profile] if profile < len(zone.demand) else 0.0
 
 
 def _fill_ring(
-    rest: dict[tuple[int, int], float],
-    left: list[float],
+    unplaced: dict[tuple[int, int], float],
+    available: list[float],
     placed: list[list[list[float]]],
-    kinds: tuple[ProfileCosts, ...],
-    ways: RegionLinks,
+    profiles: tuple[ProfileCosts, ...],
+    links: RegionLinks,
     ring: float,
 ) -> bool:
-    """One round of a ring: what wants to go is split over what is open to it by what is left there, and cut
-    where more comes than fits. False: nothing more fits or wants to go."""
-    wants: dict[tuple[int, int, int], float] = {}
-    for (z, k), need in rest.items():
-        if need <= MIN_LOAD:
+    """One round of a ring: divides the unplaced load over the zones at this distance in proportion to their
+    remaining capacity, and cuts it where more is requested than fits. False if nothing could be placed."""
+    requests: dict[tuple[int, int, int], float] = {}
+    for (z, k), demand in unplaced.items():
+        if demand <= MIN_LOAD:
             continue
-        able = [
+        candidates = [
             w
-            for w in range(len(left))
-            if ways.distance(z, w) == ring
-            and left[w] > MIN_LOAD
-            and (z == w or ways.extra_delay(z, w) <= MAX_DELAY_SHARE * kinds[k].attempt_timeout)
+            for w in range(len(available))
+            if links.distance(z, w) == ring
+            and available[w] > MIN_LOAD
+            and (z == w or links.extra_delay(z, w) <= MAX_DELAY_SHARE * profiles[k].attempt_timeout)
         ]
-        room = sum(left[w] for w in able)
-        for w in able:
-            wants[z, k, w] = need * left[w] / room
-    coming = [sum(x for (_, _, at), x in wants.items() if at == w) for w in range(len(left))]
-    for (z, k, w), want in wants.items():
-        taken = want * min(1.0, left[w] / coming[w]) if coming[w] > left[w] else want
-        placed[z][k][w] += taken
-        rest[z, k] -= taken
-    for w, come in enumerate(coming):
-        left[w] -= min(come, left[w])
-    return bool(wants)
-
-
-def _to_shares(placed: list[float], need: float, origin: int, closed: int) -> Shares:
-    if need <= MIN_LOAD:  # who comes all the same stays near
-        stay = [w for w in range(len(placed)) if not closed >> w & 1]
-        near = [origin] if origin in stay else stay
-        return tuple(1.0 / len(near) if w in near else 0.0 for w in range(len(placed)))
-    return tuple(min(1.0, amount / need) for amount in placed)
-
-
-def step_toward(now: Plan, target: Plan, span: float) -> Plan:
-    """A step of `span` seconds from the plan in force to another."""
+        capacity = sum(available[w] for w in candidates)
+        for w in candidates:
+            requests[z, k, w] = demand * available[w] / capacity
+    requested = [sum(x for (_, _, at), x in requests.items() if at == w) for w in range(len(available))]
+    for (z, k, w), request in requests.items():
+        placed_load = (
+            request * min(1.0, available[w] / requested[w]) if requested[w] > available[w] else request
+        )
+        placed[z][k][w] += placed_load
+        unplaced[z, k] -= placed_load
+    for w, total in enumerate(requested):
+        available[w] -= min(total, available[w])
+    return bool(requests)
+
+
+def _to_shares(placed: list[float], demand: float, origin: int, closed_zones: int) -> Shares:
+    if demand <= MIN_LOAD:  # no demand is known: unexpected clients stay in their zone if it is open
+        open_zones = [w for w in range(len(placed)) if not closed_zones >> w & 1]
+        targets = [origin] if origin in open_zones else open_zones
+        return tuple(1.0 / len(targets) if w in targets else 0.0 for w in range(len(placed)))
+    return tuple(min(1.0, amount / demand) for amount in placed)
+
+
+def step_toward(current: Plan, target: Plan, seconds: float) -> Plan:
+    """The plan in force, moved toward another one by a step of so many seconds."""
     rows = []
-    for z, (mine, theirs) in enumerate(zip(now.shares, target.shares, strict=True)):
-        rows.append(tuple(_step_shares(one, two, z, span) for one, two in zip(mine, theirs, strict=True)))
+    for z, (current_rows, target_rows) in enumerate(zip(current.shares, target.shares, strict=True)):
+        rows.append(
+            tuple(
+                _step_shares(one, two, z, seconds) for one, two in zip(current_rows, target_rows, strict=True)
+            )
+        )
     return Plan(tuple(rows), target.closed_zones)
 
 
-def _step_shares(now: Shares, target: Shares, origin: int, span: float) -> Shares:
-    if max(abs(a - b) for a, b in zip(now, target, strict=True)) < SHARE_DEADBAND:
-        # Guards against clients that are turned away for ever by what is left of a step.
-        return target if sum(target) > 1.0 - MIN_LOAD else now
-    # Coming home is what has to be slow: servers that are back may get little, and a zone may fall again.
-    rate = RATE_HOME if target[origin] > now[origin] else RATE_AWAY
-    most = max(abs(b - a) for a, b in zip(now, target, strict=True))
-    part = min(1.0, rate * span / most)
-    return tuple(a + part * (b - a) for a, b in zip(now, target, strict=True))
+def _step_shares(current: Shares, target: Shares, origin: int, seconds: float) -> Shares:
+    if max(abs(a - b) for a, b in zip(current, target, strict=True)) < SHARE_DEADBAND:
+        # Guards against the remainder of a step being declined for ever.
+        return target if sum(target) > 1.0 - MIN_LOAD else current
+    # The way back has to be slow: servers that just returned can take little, and the zone may fail again.
+    rate = RATE_HOME if target[origin] > current[origin] else RATE_AWAY
+    largest_change = max(abs(b - a) for a, b in zip(current, target, strict=True))
+    fraction = min(1.0, rate * seconds / largest_change)
+    return tuple(a + fraction * (b - a) for a, b in zip(current, target, strict=True))
 
 
-def demand_and_capacity(zones: tuple[ZoneEstimate, ...], closed: int) -> tuple[float, float]:
-    """What all clients need, and what the zones that stay open can bear: no closing may leave less than
-    that."""
-    need = sum(sum(zone.demand) for zone in zones)
-    return need, sum(
-        TARGET_UTILISATION * zone.capacity for z, zone in enumerate(zones) if not closed >> z & 1
+def demand_and_capacity(zones: tuple[ZoneEstimate, ...], closed_zones: int) -> tuple[float, float]:
+    """The demand of all clients, and the capacity for planning of the zones that stay open. Closing zones
+    must not leave less capacity than demand."""
+    demand = sum(sum(zone.demand) for zone in zones)
+    return demand, sum(
+        TARGET_UTILISATION * zone.capacity for z, zone in enumerate(zones) if not closed_zones >> z & 1
     )
