--- a/pointgw/cluster/plan.py
+++ b/pointgw/cluster/plan.py
@@ -107,7 +107,7 @@
     # more than is good.
     for share in (TARGET_UTILISATION, SHORTAGE_UTILISATION - TARGET_UTILISATION):
         available = [0.0 if closed_zones >> z & 1 else share * zone.capacity for z, zone in enumerate(zones)]
-        for credit in sorted({kind.credit for kind in profiles}, reverse=True):
+        for credit in sorted({profile.credit for profile in profiles}, reverse=True):
             same_credit = {
                 key: demand for key, demand in unplaced.items() if profiles[key[1]].credit == credit
             }
--- a/pointgw/cluster/transport.py
+++ b/pointgw/cluster/transport.py
@@ -1,4 +1,4 @@
-"""The tier's datagrams on a socket: one protocol, one timer."""
+"""Sends and receives a cluster node's datagrams: one asyncio datagram protocol and one timer."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 from pointgw.cluster.node import ClusterNode, Datagrams
 
-MIN_TIMER_DELAY = 0.005  # seconds between two turns
+MIN_TIMER_DELAY = 0.005  # seconds between two timer calls
 
 Address = tuple[str, int]
 
 
 class ClusterTransport(asyncio.DatagramProtocol):
-    """Speaks for one balancer. `before` is called before each turn, `after` once it was taken."""
+    """Runs one cluster node on a socket. `before_timer` and `after_timer` are called around each timer call
+    of the node."""
 
     def __init__(
         self,
@@ -34,13 +35,12 @@
         )
         self.transport: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.handlers_by_magic: dict[
-            bytes, Callable[[bytes, Address], None]
-        ] = {}  # who takes datagrams of other names
+        # Receivers of datagrams of other protocols on this socket, by their first two bytes.
+        self.handlers_by_magic: dict[bytes, Callable[[bytes, Address], None]] = {}
 
-    async def listen(self, at: Address) -> None:
-        """Raises `OSError` where the address can't be had."""
-        await self.loop.create_datagram_endpoint(lambda: self, local_addr=at)
+    async def listen(self, address: Address) -> None:
+        """Opens the socket and starts the timer. Raises `OSError` if the address is not available."""
+        await self.loop.create_datagram_endpoint(lambda: self, local_addr=address)
         self._timer_due()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -56,7 +56,8 @@
         self._send(self.node.receive(data, self.loop.time()))
 
     def error_received(self, exc: Exception) -> None:
-        self.node.counters["not delivered"] += 1  # nobody listens there; time tells
+        # Nobody listens there; the membership notices that no answer comes.
+        self.node.counters["not delivered"] += 1
 
     def _timer_due(self) -> None:
         now = self.loop.time()
@@ -67,14 +68,14 @@
             max(MIN_TIMER_DELAY, self.node.next_timer_at(now) - now), self._timer_due
         )
 
-    def _send(self, out: Datagrams) -> None:
+    def _send(self, datagrams: Datagrams) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        for to, data in out:
-            self.transport.sendto(data, self.peers[to])
+        for receiver, data in datagrams:
+            self.transport.sendto(data, self.peers[receiver])
 
     def stop(self) -> None:
-        """The last word, and the end."""
+        """Announces the stop and closes the socket."""
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None:
