--- a/pointgw/recovery/__init__.py
+++ b/pointgw/recovery/__init__.py
@@ -1,7 +1,6 @@
-"""How a fleet fills again: the cold servers' room goes to the balancers that have tunnels waiting.
+"""Recovery of a fleet after an outage: shares of the cold servers' budget are leased between balancers.
 
-`leases` (who may use whose part of rule 4's budget, and until when), `phase` (where a balancer stands after
-an outage) and `messages` (one datagram) do no I/O and read no clock; `transport` moves datagrams. Off
-unless the operators' file has `[recovery]`; nothing of it is loaded then. Its word is advice: with none, each
-balancer keeps its own part of the budget.
-"""
+`leases` (who may use whose share of rule 4's budget, and until when), `phase` (a balancer's phase after an
+outage) and `messages` (one datagram) do no I/O and read no clock; `transport` sends and receives datagrams.
+Off unless the operators' file has `[recovery]`; nothing of the package is loaded then. Its results are
+advisory: without any, each balancer keeps its own share of the budget."""
--- a/pointgw/recovery/leases.py
+++ b/pointgw/recovery/leases.py
@@ -1,20 +1,22 @@
-"""Parts of the cold servers' budget, lent for a moment. No I/O, no clock: `now` is passed in.
-
-Rule 4 gives each of N balancers 1/N of what a cold server may get. Where few have tunnels waiting, nearly all
-of it lies idle. One that has none waiting lends its part to one that asks, which may use it until a moment
-after its own asking. What keeps all parts together at 1, whatever becomes of the words:
-
-- A loan counts from when the borrower asked, by its own clock; the lender counts it from when it lent, which
-  was later. So it ends at the borrower first, however late a word comes; no two clocks are compared.
-- An answer is taken once, and only to an open question of this run (a number of 63 bits by chance). A lost,
-  late, doubled or replayed one is no loan.
-- A lender has one loan out at a time, and goes without what it lent until that is over, used or not. A
-  process that has just started goes without for as long: the one before it may have lent.
-- A lie: one that lends and spends all the same, or lends to many, adds to the sum what those that may borrow
-  of it hold: `few(N)` parts of N, 4% from 25 balancers on, 1/N under that, against `COLD_SAFE`'s fifth. Who
-  may borrow of whom is a ring by number, so that nobody can lend to all.
-- A replayed or lying question costs a lender that has nothing waiting its part for `LEASE_DURATION`, but for
-  `OWN`.
+"""Leases: shares of the cold servers' budget, lent for a short time. No I/O, no clock: `now` is passed in.
+
+Rule 4 gives each of N balancers 1/N of what a cold server may get. If few balancers have waiting tunnels,
+nearly all of it lies idle. A balancer without waiting tunnels (the lessor) grants its share to one that
+requests it (the lessee), which may use it for a short time counted from its request. The sum of all shares
+never exceeds 1, whatever happens to the messages, because:
+
+- A lease runs from the request, by the lessee's clock; the lessor counts it from the grant, which is later.
+  So it ends at the lessee first, however late a message arrives, and no two clocks are compared.
+- A grant is accepted once, and only for an open request of this run, identified by 62 random bits. A lost,
+  late, duplicated or replayed grant creates no lease.
+- A lessor has one lease out at a time, and does without the granted share until it ends, used or not. A
+  process that has just started does without it for as long, as its predecessor may have granted it.
+- A false lessor, which uses its share all the same or grants it to many, adds to the sum what its possible
+  lessees can hold: `lessor_count(N)` shares of N, which is 4% from 25 balancers on and 1/N below, compared to
+  the fifth that `policy.SLOW_START_SAFETY_FACTOR` keeps free. Who may borrow from whom is a ring by index, so
+  that nobody can grant to all.
+- A replayed or false request costs an idle lessor its share for `LEASE_DURATION`, except for
+  `RESERVED_SHARE`.
 """
 
 from __future__ import annotations
@@ -23,112 +25,113 @@
 from math import inf
 from random import Random
 
-RESERVED_SHARE = 0.1  # of its part that a lender keeps
-LEASE_DURATION = 0.5  # of the tip span: how long a loan lasts from when it was asked for
-LESSOR_MARGIN = (
-    0.1  # of that: how much longer the lender goes without it, as a borrower sees an end a little late
-)
-REQUEST_INTERVAL = 0.25  # of it, until who is not answered, or whose loan ends, is asked again
-REQUEST_FANOUT = 3  # that are asked at a time
-BALANCERS_PER_LESSOR = 25  # balancers for each one that may borrow of another
+RESERVED_SHARE = 0.1  # of its share that a lessor keeps
+LEASE_DURATION = 0.5  # of the overload window, counted from the request
+LESSOR_MARGIN = 0.1  # of LEASE_DURATION: how much longer a lessor waits, as a lessee may notice the end late
+REQUEST_INTERVAL = 0.25  # of LEASE_DURATION: between two rounds of requests
+REQUEST_FANOUT = 3  # lessors in a round
+BALANCERS_PER_LESSOR = 25  # cluster size for each lessor that a balancer may borrow from
 
-LeaseRequest = tuple[int, int]  # whom, the question's number
+LeaseRequest = tuple[int, int]  # lessor, request ID
 
 
-def lessor_count(balancers: int) -> int:
-    """Of how many each may borrow."""
-    return min(balancers - 1, max(1, balancers // BALANCERS_PER_LESSOR))
+def lessor_count(balancer_count: int) -> int:
+    """From how many others each balancer may borrow."""
+    return min(balancer_count - 1, max(1, balancer_count // BALANCERS_PER_LESSOR))
 
 
 @dataclass(slots=True)
 class Lease:
-    """What is borrowed of one other, and the question to it that is open."""
+    """The lease from one lessor, and the open request to it."""
 
-    expires_at: float = -inf  # of what was lent
-    request_id: int = 0  # of the question; 0: none is open
+    expires_at: float = -inf  # -inf: never granted
+    request_id: int = 0  # of the open request; 0: none
     requested_at: float = -inf
 
 
 @dataclass(slots=True)
 class Leases:
+    """One balancer's leases, as lessee and as lessor."""
+
     own_index: int
     balancer_count: int
-    overload_window: float  # the tip span, in seconds
+    overload_window: float  # seconds
     rng: Random
     started_at: float
-    lessors: tuple[int, ...] = ()  # those that this one may borrow of
-    by_lessor: dict[int, Lease] = field(default_factory=dict)  # by lender
+    lessors: tuple[int, ...] = ()  # balancers that this one may borrow from
+    by_lessor: dict[int, Lease] = field(default_factory=dict)
     last_request_at: float = -inf
-    next_lessor: int = 0  # which lender is asked next
-    lessee: int = -1
+    next_lessor: int = 0  # position in `lessors`, counted up
+    lessee: int = -1  # who has the own share; -1: nobody had it yet
     granted_until: float = -inf
-    is_idle: bool = False  # nothing waits here
-    borrowed_count: int = 0  # loans so far
-    granted_count: int = 0
+    is_idle: bool = False  # no tunnel waits here
+    borrowed_count: int = 0  # leases received so far
+    granted_count: int = 0  # leases granted so far
 
     def __post_init__(self) -> None:
         self.lessors = tuple(
             (self.own_index + i) % self.balancer_count
             for i in range(1, lessor_count(self.balancer_count) + 1)
         )
-        self.by_lessor = {lender: Lease() for lender in self.lessors}
+        self.by_lessor = {lessor: Lease() for lessor in self.lessors}
         self.granted_until = self.started_at + (1.0 + LESSOR_MARGIN) * self.lease_seconds
 
     @property
     def lease_seconds(self) -> float:
+        """How long a lease lasts."""
         return LEASE_DURATION * self.overload_window
 
     def budget_share(self, now: float) -> float:
-        """What this one may use of the budget, in parts of 1/N."""
+        """What this balancer may use of the budget, in units of 1/N."""
         own = RESERVED_SHARE if now < self.granted_until else 1.0
-        return own + (1.0 - RESERVED_SHARE) * sum(now < loan.expires_at for loan in self.by_lessor.values())
+        return own + (1.0 - RESERVED_SHARE) * sum(now < lease.expires_at for lease in self.by_lessor.values())
 
     def requests_due(self, needs: bool, idle: bool, now: float) -> list[LeaseRequest]:
-        """What is asked of whom now. `needs`: tunnels wait that cold servers could take; `idle`: nothing
-        waits, nor was turned away lately."""
+        """Requests to be sent now. `needs`: tunnels wait that cold servers could take; `idle`: no tunnel
+        waits, nor was one declined recently."""
         self.is_idle = idle
         if not needs or now < self.last_request_at + REQUEST_INTERVAL * self.lease_seconds:
             return []
         self.last_request_at = now
-        runs_out = [
+        expiring = [
             n
-            for n, loan in self.by_lessor.items()
-            if now < loan.expires_at <= now + 2 * REQUEST_INTERVAL * self.lease_seconds
+            for n, lease in self.by_lessor.items()
+            if now < lease.expires_at <= now + 2 * REQUEST_INTERVAL * self.lease_seconds
         ]
-        out: list[LeaseRequest] = []
-        for lender in runs_out[:REQUEST_FANOUT]:
-            self._open_request(lender, now, out)
+        requests: list[LeaseRequest] = []
+        for lessor in expiring[:REQUEST_FANOUT]:
+            self._open_request(lessor, now, requests)
         for _ in self.lessors:
-            if len(out) >= REQUEST_FANOUT:
+            if len(requests) >= REQUEST_FANOUT:
                 break
-            lender = self.lessors[self.next_lessor % len(self.lessors)]
+            lessor = self.lessors[self.next_lessor % len(self.lessors)]
             self.next_lessor += 1
-            if self.by_lessor[lender].expires_at <= now:
-                self._open_request(lender, now, out)
-        return out
-
-    def _open_request(self, lender: int, now: float, out: list[LeaseRequest]) -> None:
-        loan = self.by_lessor[lender]
-        loan.request_id, loan.requested_at = self.rng.getrandbits(62) + 1, now
-        out.append((lender, loan.request_id))
-
-    def receive_request(self, borrower: int, now: float) -> bool:
-        """Another asks; True where it gets this one's part."""
-        may = (self.own_index - borrower) % self.balancer_count in range(
+            if self.by_lessor[lessor].expires_at <= now:
+                self._open_request(lessor, now, requests)
+        return requests
+
+    def _open_request(self, lessor: int, now: float, requests: list[LeaseRequest]) -> None:
+        lease = self.by_lessor[lessor]
+        lease.request_id, lease.requested_at = self.rng.getrandbits(62) + 1, now
+        requests.append((lessor, lease.request_id))
+
+    def receive_request(self, lessee: int, now: float) -> bool:
+        """A request from another balancer; True if it is granted the own share."""
+        is_eligible = (self.own_index - lessee) % self.balancer_count in range(
             1, lessor_count(self.balancer_count) + 1
         )
-        free = now >= self.granted_until or borrower == self.lessee
-        if not (may and free and self.is_idle):
+        is_free = now >= self.granted_until or lessee == self.lessee
+        if not (is_eligible and is_free and self.is_idle):
             return False
-        self.lessee, self.granted_until = borrower, now + (1.0 + LESSOR_MARGIN) * self.lease_seconds
+        self.lessee, self.granted_until = lessee, now + (1.0 + LESSOR_MARGIN) * self.lease_seconds
         self.granted_count += 1
         return True
 
-    def receive_grant(self, lender: int, number: int, now: float) -> bool:
-        """An answer: the part of `lender` is lent. True where that is so."""
-        loan = self.by_lessor.get(lender)
-        if loan is None or not number or loan.request_id != number:
+    def receive_grant(self, lessor: int, request_id: int, now: float) -> bool:
+        """A grant from a lessor; True if it is accepted and the lease still runs."""
+        lease = self.by_lessor.get(lessor)
+        if lease is None or not request_id or lease.request_id != request_id:
             return False
-        loan.request_id, loan.expires_at = 0, loan.requested_at + self.lease_seconds
-        self.borrowed_count += now < loan.expires_at
-        return now < loan.expires_at
+        lease.request_id, lease.expires_at = 0, lease.requested_at + self.lease_seconds
+        self.borrowed_count += now < lease.expires_at
+        return now < lease.expires_at
--- a/pointgw/recovery/messages.py
+++ b/pointgw/recovery/messages.py
@@ -1,8 +1,9 @@
-"""One datagram about a loan: the tier's envelope (`pointgw.cluster.wire`) under a name of its own.
+"""One datagram about a lease: the cluster's signed envelope (`pointgw.cluster.wire`) with a magic of its own.
 
     "pl" VERSION KEY | 16 bytes of keyed BLAKE2b over all the rest | MessagePack of a `LeaseMessage`
 
-It names no run and no clock: a question is answered by its number, of 63 bits by chance, and taken once."""
+It contains no run ID and no clock time: a grant repeats the request's ID, 62 random bits, and is accepted
+once."""
 
 from __future__ import annotations
 
@@ -21,23 +22,26 @@
 
 
 class LeaseMessage(ArrayStruct, frozen=True, array_like=True):
-    kind: MessageKind  # a question, or the answer that lends
+    """A request for a lease, or the grant of one."""
+
+    kind: MessageKind
     sender: MemberIndex
     receiver: MemberIndex
     request_id: RunId
-    balancer_count: UInt32  # as the sender has them: another number is another tier, and nothing is lent
+    balancer_count: UInt32  # as configured at the sender; messages with another number are refused
 
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(LeaseMessage)
 
 
-def encode(word: LeaseMessage, keys: Keys) -> bytes:
-    return keys.sign_body(_encoder.encode(word), MAGIC)
+def encode(message: LeaseMessage, keys: Keys) -> bytes:
+    """Encodes and signs."""
+    return keys.sign_body(_encoder.encode(message), MAGIC)
 
 
 def decode(data: bytes, keys: Keys) -> LeaseMessage:
-    """Raises `RefusedDatagramError`."""
+    """Verifies, then decodes. Raises `RefusedDatagramError`."""
     body = keys.verify_body(data, MAGIC)
     try:
         return _decoder.decode(body)
--- a/pointgw/recovery/transport.py
+++ b/pointgw/recovery/transport.py
@@ -1,4 +1,5 @@
-"""Loans on a socket: one datagram protocol, or the tier's where that has the address."""
+"""Sends and receives lease messages: a datagram protocol of its own, or on the cluster's socket if that is
+on."""
 
 from __future__ import annotations
 
@@ -17,23 +18,24 @@
 
 
 class LeaseTransport(asyncio.DatagramProtocol):
-    """Speaks for one balancer. `changed` is called once a loan has come or was given."""
+    """Exchanges lease messages for one balancer. `on_change` is called after a lease was received or
+    granted."""
 
     def __init__(
         self,
-        loans: Leases,
+        leases: Leases,
         keys: Keys,
         peers: tuple[Address, ...],
         loop: asyncio.AbstractEventLoop,
-        changed: Callable[[float], None],
+        on_change: Callable[[float], None],
     ) -> None:
-        self.leases, self.keys, self.peers, self.loop, self.on_change = loans, keys, peers, loop, changed
+        self.leases, self.keys, self.peers, self.loop, self.on_change = leases, keys, peers, loop, on_change
         self.transport: asyncio.DatagramTransport | None = None
         self.counters: Counter[str] = Counter()
 
-    async def listen(self, at: Address) -> None:
-        """Raises `OSError` where the address can't be had."""
-        await self.loop.create_datagram_endpoint(lambda: self, local_addr=at)
+    async def listen(self, address: Address) -> None:
+        """Opens a socket of its own. Raises `OSError` if the address is not available."""
+        await self.loop.create_datagram_endpoint(lambda: self, local_addr=address)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
@@ -43,36 +45,38 @@
             self.counters["refused: unsigned, from elsewhere"] += 1
             return
         try:
-            word = messages.decode(data, self.keys)
-        except RefusedDatagramError as why:
-            self.counters[f"refused: {why}"] += 1
+            message = messages.decode(data, self.keys)
+        except RefusedDatagramError as refusal:
+            self.counters[f"refused: {refusal}"] += 1
             return
-        loans, now = self.leases, self.loop.time()
+        leases, now = self.leases, self.loop.time()
         if (
-            word.receiver != loans.own_index
-            or word.balancer_count != loans.balancer_count
-            or word.sender >= loans.balancer_count
+            message.receiver != leases.own_index
+            or message.balancer_count != leases.balancer_count
+            or message.sender >= leases.balancer_count
         ):
             self.counters["refused: another tier's"] += 1
-        elif word.kind == messages.REQUEST and loans.receive_request(word.sender, now):
-            self.on_change(now)  # first: what is lent is not used here any more
-            self._send(messages.GRANT, word.sender, word.request_id)
-        elif word.kind == messages.GRANT and loans.receive_grant(word.sender, word.request_id, now):
+        elif message.kind == messages.REQUEST and leases.receive_request(message.sender, now):
+            self.on_change(now)  # before sending: the granted share must not be used here any more
+            self._send(messages.GRANT, message.sender, message.request_id)
+        elif message.kind == messages.GRANT and leases.receive_grant(message.sender, message.request_id, now):
             self.on_change(now)
 
     def send_requests(self, needs: bool, idle: bool) -> None:
-        for lender, number in self.leases.requests_due(needs, idle, self.loop.time()):
-            self._send(messages.REQUEST, lender, number)
+        """Sends the requests that are due (see `Leases.requests_due`)."""
+        for lessor, request_id in self.leases.requests_due(needs, idle, self.loop.time()):
+            self._send(messages.REQUEST, lessor, request_id)
 
-    def _send(self, what: messages.MessageKind, to: int, number: int) -> None:
-        word = LeaseMessage(what, self.leases.own_index, to, number, self.leases.balancer_count)
+    def _send(self, kind: messages.MessageKind, receiver: int, request_id: int) -> None:
+        message = LeaseMessage(kind, self.leases.own_index, receiver, request_id, self.leases.balancer_count)
         if self.transport is not None and not self.transport.is_closing():
             self.counters["sent"] += 1
-            self.transport.sendto(messages.encode(word, self.keys), self.peers[to])
+            self.transport.sendto(messages.encode(message, self.keys), self.peers[receiver])
 
     def error_received(self, exc: Exception) -> None:
         self.counters["not delivered"] += 1  # nobody listens there
 
     def stop(self) -> None:
+        """Closes the socket."""
         if self.transport is not None:
             self.transport.close()
