--- a/tests/virtual_clock.py
+++ b/tests/virtual_clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock: what falls due later is done at its time, in order; of one time, as it was asked for."""
+"""A virtual clock: callbacks run at their time, in order of time and then of scheduling."""
 
 from __future__ import annotations
 
@@ -6,22 +6,24 @@
 from collections.abc import Callable
 from itertools import count as counting
 
-Due = Callable[[float], object]  # called with the time
+Callback = Callable[[float], object]  # called with the time
 
 
 class VirtualClock:
+    """Base class with a clock and a queue of callbacks; the subclass sets `now`."""
+
     now: float
 
     def start_clock(self) -> None:
-        self.queue: list[tuple[float, int, Due]] = []
-        self.numbers = counting()
+        self.queue: list[tuple[float, int, Callback]] = []
+        self.order = counting()
 
-    def later(self, wait: float, what: Due) -> None:
-        heapq.heappush(self.queue, (self.now + wait, next(self.numbers), what))
+    def later(self, delay: float, callback: Callback) -> None:
+        heapq.heappush(self.queue, (self.now + delay, next(self.order), callback))
 
     def run_until(self, until: float) -> None:
         while self.queue and self.queue[0][0] <= until:
-            at, _, what = heapq.heappop(self.queue)
-            self.now = max(self.now, at)
-            what(self.now)
+            due_at, _, callback = heapq.heappop(self.queue)
+            self.now = max(self.now, due_at)
+            callback(self.now)
         self.now = until
