--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,5 @@
-"""Loans of the cold servers' budget, the phases and the words, on a virtual clock."""
+"""Tests of `pointgw.recovery`: leases of the cold servers' budget, phases and messages, on a virtual
+clock."""
 
 from __future__ import annotations
 
@@ -31,196 +32,211 @@
     queue_priority,
 )
 
-SPAN = 2.0
-KEY = Keys((b"0123456789abcdef",))
+OVERLOAD_WINDOW = 2.0  # seconds
+KEYS = Keys((b"0123456789abcdef",))
 
 
-def tier(count: int, at: float = 0.0, seed: int = 1) -> list[Leases]:
-    """Balancers that have stood long enough to lend."""
-    return [Leases(n, count, SPAN, Random(seed * 1000 + n), at - SPAN) for n in range(count)]
+def make_leases(count: int, now: float = 0.0, seed: int = 1) -> list[Leases]:
+    """The leases of so many balancers, which were started long enough ago to grant."""
+    return [
+        Leases(n, count, OVERLOAD_WINDOW, Random(seed * 1000 + n), now - OVERLOAD_WINDOW)
+        for n in range(count)
+    ]
 
 
-def changes(balancer: Leases) -> list[float]:
-    """When its part changes by itself."""
-    return [balancer.granted_until, *(loan.expires_at for loan in balancer.by_lessor.values())]
+def share_changes(leases: Leases) -> list[float]:
+    """Times at which its budget share changes by itself."""
+    return [leases.granted_until, *(lease.expires_at for lease in leases.by_lessor.values())]
 
 
-class Box:
-    """Words between balancers: lost, late, doubled, by chance."""
+class SimulatedNetwork:
+    """Messages between balancers, randomly lost, delayed and duplicated."""
 
-    def __init__(self, balancers: list[Leases], rng: Random, loss: float, late: float, twice: float) -> None:
-        self.all, self.rng, self.loss, self.late, self.twice = balancers, rng, loss, late, twice
+    def __init__(
+        self, leases: list[Leases], rng: Random, loss: float, max_delay: float, duplicates: float
+    ) -> None:
+        self.leases, self.rng, self.loss, self.max_delay, self.duplicates = (
+            leases,
+            rng,
+            loss,
+            max_delay,
+            duplicates,
+        )
         self.queue: list[tuple[float, int, Callable[[float], object]]] = []
-        self.count = 0
+        self.sent_count = 0
 
-    def send(self, now: float, deliver: Callable[[float], object]) -> None:
-        for _ in range(1 + (self.rng.random() < self.twice)):
+    def send(self, now: float, handler: Callable[[float], object]) -> None:
+        for _ in range(1 + (self.rng.random() < self.duplicates)):
             if self.rng.random() >= self.loss:
-                self.count += 1
-                heapq.heappush(self.queue, (now + self.rng.uniform(0.0, self.late), self.count, deliver))
+                self.sent_count += 1
+                heapq.heappush(
+                    self.queue, (now + self.rng.uniform(0.0, self.max_delay), self.sent_count, handler)
+                )
 
     def deliver(self, until: float) -> None:
         while self.queue and self.queue[0][0] <= until:
-            at, _, take = heapq.heappop(self.queue)
-            take(at)
+            arrives_at, _, handler = heapq.heappop(self.queue)
+            handler(arrives_at)
 
-    def ask(self, borrower: Leases, needs: bool, now: float) -> None:
-        for lender, number in borrower.requests_due(needs, not needs, now):
-            self.send(now, partial(self._asked, borrower, self.all[lender], number))
+    def send_requests(self, lessee: Leases, needs: bool, now: float) -> None:
+        for lessor, request_id in lessee.requests_due(needs, not needs, now):
+            self.send(now, partial(self._receive_request, lessee, self.leases[lessor], request_id))
 
-    def _asked(self, borrower: Leases, lender: Leases, number: int, now: float) -> None:
-        if lender.receive_request(borrower.own_index, now):
-            self.send(now, partial(borrower.receive_grant, lender.own_index, number))
+    def _receive_request(self, lessee: Leases, lessor: Leases, request_id: int, now: float) -> None:
+        if lessor.receive_request(lessee.own_index, now):
+            self.send(now, partial(lessee.receive_grant, lessor.own_index, request_id))
 
 
 @settings(max_examples=60, deadline=None)
 @given(
     st.integers(2, 60), st.integers(0, 2**32), st.floats(0.0, 0.6), st.floats(0.0, 3.0), st.floats(0.0, 0.5)
 )
-def test_all_parts_together_are_never_over_one(
-    count: int, seed: int, loss: float, late: float, twice: float
+def test_all_budget_shares_together_never_exceed_one(
+    count: int, seed: int, loss: float, max_delay: float, duplicates: float
 ) -> None:
-    """Whatever is lost, late or doubled, who needs when, and who starts anew in between."""
+    """Messages are lost, delayed or duplicated, needs change, and balancers restart in between."""
     rng = Random(seed)
-    all_of_them = tier(count, seed=seed)
-    box = Box(all_of_them, rng, loss, late, twice)
+    balancers = make_leases(count, seed=seed)
+    network = SimulatedNetwork(balancers, rng, loss, max_delay, duplicates)
     needs = [rng.random() < 0.3 for _ in range(count)]
     for step in range(120):
         now = step * 0.05
-        box.deliver(now)
+        network.deliver(now)
         for n in range(count):
             if rng.random() < 0.05:
                 needs[n] = not needs[n]
             if rng.random() < 0.01:
-                all_of_them[n] = Leases(n, count, SPAN, Random(rng.random()), now)
-            box.ask(all_of_them[n], needs[n], now)
-        # Also at the moment each loan ends, and just before it.
-        ends = [end - 1e-9 for b in all_of_them for end in changes(b) if now < end < now + 0.05]
-        for at in (now, *ends):
-            assert sum(b.budget_share(at) for b in all_of_them) <= count + 1e-6
+                balancers[n] = Leases(n, count, OVERLOAD_WINDOW, Random(rng.random()), now)
+            network.send_requests(balancers[n], needs[n], now)
+        # Also just before the moment that each lease ends.
+        lease_ends = [end - 1e-9 for b in balancers for end in share_changes(b) if now < end < now + 0.05]
+        for at in (now, *lease_ends):
+            assert sum(b.budget_share(at) for b in balancers) <= count + 1e-6
 
 
 @pytest.mark.parametrize("count", [3, 6, 40, 200, 1000])
-def test_where_few_wait_they_have_what_others_do_not_need(count: int) -> None:
-    all_of_them = tier(count)
-    box = Box(all_of_them, Random(3), 0.0, 0.02, 0.0)
+def test_the_few_that_need_budget_get_the_shares_of_the_others(count: int) -> None:
+    balancers = make_leases(count)
+    network = SimulatedNetwork(balancers, Random(3), 0.0, 0.02, 0.0)
     waiting = set(range(0, count, max(3, count // 12)))
-    sent = 0
+    sent_count = 0
     for step in range(40):
         now = step * 0.05
-        box.deliver(now)
-        for b in all_of_them:
-            box.ask(b, b.own_index in waiting, now)
-        sent = box.count
+        network.deliver(now)
+        for b in balancers:
+            network.send_requests(b, b.own_index in waiting, now)
+        sent_count = network.sent_count
     now = 2.0
-    parts = [all_of_them[n].budget_share(now) for n in waiting]
-    others = [b.budget_share(now) for b in all_of_them if b.own_index not in waiting]
-    assert sum(parts) / len(parts) > 1.0 + 0.7 * min(lessor_count(count), 1.0) * (1 - len(waiting) / count)
-    assert len(parts) < 3 or sum(parts) / len(parts) > 0.6 * (1 + min(lessor_count(count), 8))
+    shares = [balancers[n].budget_share(now) for n in waiting]
+    others = [b.budget_share(now) for b in balancers if b.own_index not in waiting]
+    assert sum(shares) / len(shares) > 1.0 + 0.7 * min(lessor_count(count), 1.0) * (1 - len(waiting) / count)
+    assert len(shares) < 3 or sum(shares) / len(shares) > 0.6 * (1 + min(lessor_count(count), 8))
     assert min(others) == pytest.approx(RESERVED_SHARE)
-    # What it costs: a question and its answer for each loan, four times a lease at most.
-    assert sent <= 2.0 * len(waiting) * 3 / (REQUEST_INTERVAL * LEASE_DURATION * SPAN) * 2.0
+    # Cost: a request and a grant for each lease, at most four times per lease duration.
+    assert sent_count <= 2.0 * len(waiting) * 3 / (REQUEST_INTERVAL * LEASE_DURATION * OVERLOAD_WINDOW) * 2.0
 
 
-def test_a_late_answer_is_a_loan_only_for_what_is_left_of_it() -> None:
-    borrower, lender = tier(2)
-    ((who, number),) = borrower.requests_due(True, False, 0.0)
-    assert who == 1
-    lender.requests_due(False, True, 0.0)
-    assert lender.receive_request(0, 0.4) and lender.budget_share(0.4) == RESERVED_SHARE
-    assert borrower.receive_grant(1, number, 0.9) and borrower.budget_share(0.9) == pytest.approx(1.9)
+def test_a_late_grant_gives_a_lease_for_the_remaining_time_only() -> None:
+    lessee, lessor = make_leases(2)
+    ((asked_index, request_id),) = lessee.requests_due(True, False, 0.0)
+    assert asked_index == 1
+    lessor.requests_due(False, True, 0.0)
+    assert lessor.receive_request(0, 0.4) and lessor.budget_share(0.4) == RESERVED_SHARE
+    assert lessee.receive_grant(1, request_id, 0.9) and lessee.budget_share(0.9) == pytest.approx(1.9)
     assert (
-        borrower.budget_share(1.0) == 1.0
-        and lender.budget_share(1.49) == RESERVED_SHARE
-        and lender.budget_share(1.5) == 1.0
+        lessee.budget_share(1.0) == 1.0
+        and lessor.budget_share(1.49) == RESERVED_SHARE
+        and lessor.budget_share(1.5) == 1.0
     )
 
 
-def test_an_answer_that_comes_after_its_time_or_again_is_no_loan() -> None:
-    borrower, lender = tier(2)
-    ((_, number),) = borrower.requests_due(True, False, 0.0)
-    assert not borrower.receive_grant(1, number + 1, 0.1) and not borrower.receive_grant(1, 0, 0.1)
-    assert not borrower.receive_grant(1, number, 1.0) and borrower.budget_share(1.0) == 1.0
-    ((_, number),) = borrower.requests_due(True, False, 1.1)
-    assert borrower.receive_grant(1, number, 1.2) and not borrower.receive_grant(1, number, 1.3)
-    assert borrower.budget_share(1.3) == pytest.approx(1.9) and borrower.budget_share(2.1) == 1.0
-    assert lender.budget_share(0.0) == 1.0
+def test_an_expired_or_repeated_grant_gives_no_lease() -> None:
+    lessee, lessor = make_leases(2)
+    ((_, request_id),) = lessee.requests_due(True, False, 0.0)
+    assert not lessee.receive_grant(1, request_id + 1, 0.1) and not lessee.receive_grant(1, 0, 0.1)
+    assert not lessee.receive_grant(1, request_id, 1.0) and lessee.budget_share(1.0) == 1.0
+    ((_, request_id),) = lessee.requests_due(True, False, 1.1)
+    assert lessee.receive_grant(1, request_id, 1.2) and not lessee.receive_grant(1, request_id, 1.3)
+    assert lessee.budget_share(1.3) == pytest.approx(1.9) and lessee.budget_share(2.1) == 1.0
+    assert lessor.budget_share(0.0) == 1.0
 
 
 @pytest.mark.parametrize("count", [6, 50, 200])
-def test_one_that_lends_to_all_and_spends_all_the_same_adds_a_twentieth(count: int) -> None:
-    # Its word costs what those may take of it that it may lend to; others don't ask it.
-    all_of_them = tier(count)
-    for b in all_of_them:
+def test_a_false_lessor_adds_at_most_the_share_of_its_possible_lessees(count: int) -> None:
+    # Balancer 0 grants to all and uses its share all the same. Only its possible lessees send it requests.
+    balancers = make_leases(count)
+    for b in balancers:
         for step in range(2 * lessor_count(count)):
-            for lender, number in b.requests_due(True, False, step * 0.26):
-                if lender == 0:
-                    b.receive_grant(0, number, step * 0.26)
+            for lessor, request_id in b.requests_due(True, False, step * 0.26):
+                if lessor == 0:
+                    b.receive_grant(0, request_id, step * 0.26)
     now = (2 * lessor_count(count) - 1) * 0.26
-    assert sum(b.budget_share(now) for b in all_of_them) <= count * (1 + max(1 / count, 0.04))
+    assert sum(b.budget_share(now) for b in balancers) <= count * (1 + max(1 / count, 0.04))
 
 
 @pytest.mark.parametrize(
-    ("waits", "borrower", "lent", "lends"),
+    ("needs", "lessee", "granted_to", "grants"),
     [
         (False, 0, -1, True),
-        (True, 0, -1, False),  # it needs its part itself
-        (False, 0, 5, False),  # another has it
-        (False, 5, 5, True),  # the same one again
-        (False, 17, -1, False),  # not one that may borrow of it
-        (False, 1, -1, False),  # itself
+        (True, 0, -1, False),  # the lessor needs its share itself
+        (False, 0, 5, False),  # another balancer has it
+        (False, 5, 5, True),  # the present lessee again
+        (False, 17, -1, False),  # not one of its possible lessees
+        (False, 1, -1, False),  # the lessor itself
     ],
 )
-def test_who_gets_the_part(waits: bool, borrower: int, lent: int, lends: bool) -> None:
-    lender = tier(200)[1]
-    lender.requests_due(waits, not waits, 0.0)
-    if lent >= 0:
-        lender.lessee, lender.granted_until = lent, 0.5
-    borrower = (borrower - 1) % 200 if borrower not in (0, 17, 1) else borrower
-    if lent == 5:
-        lender.lessee = (lent - 1) % 200 if borrower != 0 else 199
-    assert lender.receive_request(borrower, 0.1) is (lends and (lender.own_index - borrower) % 200 <= 8)
+def test_to_whom_a_share_is_granted(needs: bool, lessee: int, granted_to: int, grants: bool) -> None:
+    lessor = make_leases(200)[1]
+    lessor.requests_due(needs, not needs, 0.0)
+    if granted_to >= 0:
+        lessor.lessee, lessor.granted_until = granted_to, 0.5
+    lessee = (lessee - 1) % 200 if lessee not in (0, 17, 1) else lessee
+    if granted_to == 5:
+        lessor.lessee = (granted_to - 1) % 200 if lessee != 0 else 199
+    assert lessor.receive_request(lessee, 0.1) is (grants and (lessor.own_index - lessee) % 200 <= 8)
 
 
-def test_one_that_has_just_started_lends_nothing_and_goes_without_what_may_be_lent() -> None:
-    lender = Leases(1, 2, SPAN, Random(1), 10.0)
-    lender.requests_due(False, True, 10.0)
-    assert not lender.receive_request(0, 10.5) and lender.budget_share(10.5) == RESERVED_SHARE
-    assert lender.budget_share(11.1) == 1.0 and lender.receive_request(0, 11.1)
+def test_a_balancer_that_has_just_started_grants_nothing_and_uses_only_its_reserve() -> None:
+    lessor = Leases(1, 2, OVERLOAD_WINDOW, Random(1), 10.0)
+    lessor.requests_due(False, True, 10.0)
+    assert not lessor.receive_request(0, 10.5) and lessor.budget_share(10.5) == RESERVED_SHARE
+    assert lessor.budget_share(11.1) == 1.0 and lessor.receive_request(0, 11.1)
 
 
-WORD = LeaseMessage(messages.REQUEST, 3, 4, 2**62, 200)
+MESSAGE = LeaseMessage(messages.REQUEST, 3, 4, 2**62, 200)
 
 
-def test_a_word_is_read_whole_or_not_at_all() -> None:
-    data = messages.encode(WORD, KEY)
-    assert messages.decode(data, KEY) == WORD and len(data) < 64
-    for cut in range(len(data)):
+def test_a_message_is_decoded_whole_or_refused() -> None:
+    data = messages.encode(MESSAGE, KEYS)
+    assert messages.decode(data, KEYS) == MESSAGE and len(data) < 64
+    for length in range(len(data)):
         with pytest.raises(RefusedDatagramError):
-            messages.decode(data[:cut], KEY)
-    for at in range(len(data)):
+            messages.decode(data[:length], KEYS)
+    for position in range(len(data)):
         for bit in range(8):
             with pytest.raises(RefusedDatagramError):
-                messages.decode(data[:at] + bytes((data[at] ^ 1 << bit,)) + data[at + 1 :], KEY)
+                messages.decode(
+                    data[:position] + bytes((data[position] ^ 1 << bit,)) + data[position + 1 :], KEYS
+                )
 
 
 @pytest.mark.parametrize(
     "body", [b"", b"\x90", b"\x95\x02\x03\x04\x05\x06", b"\x95\x00\xcd\xff\xff\x04\x05\x06", b"\xc1" * 40]
 )
-def test_a_signed_body_that_is_no_word_is_refused(body: bytes) -> None:
+def test_a_signed_body_that_is_no_message_is_refused(body: bytes) -> None:
     with pytest.raises(RefusedDatagramError):
-        messages.decode(KEY.sign_body(body, messages.MAGIC), KEY)
+        messages.decode(KEYS.sign_body(body, messages.MAGIC), KEYS)
 
 
-def file(tmp_path: Path, text: str) -> operators.RecoverySection:
+def read_recovery_section(tmp_path: Path, text: str) -> operators.RecoverySection:
     path = tmp_path / "operators.toml"
     path.write_text(text)
-    found = operators.read(str(path)).recovery
-    assert found is not None
-    return found
+    section = operators.read(str(path)).recovery
+    assert section is not None
+    return section
 
 
-def told(**changes: object) -> StartUpSettings:
+def start_up_settings(**changes: object) -> StartUpSettings:
     line: dict[str, object] = {
         "name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1",
         "known": {"index": 0, "snapshot": True, "endpoints": []}, "settings": {"instances": 2, "me": 0},
@@ -229,7 +245,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "fault"),
+    ("text", "message"),
     [
         ("[recovery]\n", "recovery.listen: expected HOST:PORT"),
         ('[recovery]\nlisten = "127.0.0.1:9"\n', "recovery.peers = 0: expected a list"),
@@ -241,79 +257,81 @@
         ),
     ],
 )
-def test_what_operators_wrote_wrongly_is_told_in_a_line(
-    tmp_path: Path, capfd: pytest.CaptureFixture[str], text: str, fault: str
+def test_an_invalid_section_is_reported_in_one_line(
+    tmp_path: Path, capfd: pytest.CaptureFixture[str], text: str, message: str
 ) -> None:
-    assert RecoveryRunner.create(file(tmp_path, text), told()) is None
+    assert RecoveryRunner.create(read_recovery_section(tmp_path, text), start_up_settings()) is None
     (line,) = capfd.readouterr().err.splitlines()
-    assert fault in line
+    assert message in line
 
 
 def test_an_unknown_key_is_refused(tmp_path: Path) -> None:
     with pytest.raises(validation.InvalidFileError, match=r"recovery\.loan\b"):
-        file(tmp_path, "[recovery]\nloan = true\n")
+        read_recovery_section(tmp_path, "[recovery]\nloan = true\n")
 
 
-def look(cold: int, waits: bool = True, heard: int = 10) -> ServerCounts:
-    return ServerCounts(10, heard, cold, waits)
+def counts(cold: int, tunnels_waiting: bool = True, answered: int = 10) -> ServerCounts:
+    return ServerCounts(10, answered, cold, tunnels_waiting)
 
 
-def test_the_phases_are_entered_and_left_at_marks_that_lie_apart() -> None:
-    standing = RecoveryPhaseTracker(10.0, 0.0)
-    assert standing.update(look(0, heard=2), 0.1) is Phase.FINDING
-    assert standing.update(look(8, waits=False, heard=2), 0.2) is Phase.FINDING
-    assert standing.update(look(8), 0.5) is Phase.FILLING
-    assert standing.update(look(2), 5.0) is Phase.FILLING
-    assert standing.update(look(1), 5.1) is Phase.FILLING
-    assert standing.update(look(1), 5.0 + MIN_FILLING_TIME * 10.0) is Phase.STEADY
-    assert standing.update(look(2), 9.0) is Phase.STEADY
-    assert standing.update(look(3, waits=False), 9.1) is Phase.STEADY
-    assert standing.update(look(3), 9.2) is Phase.FILLING
+def test_filling_is_entered_and_left_at_different_bounds() -> None:
+    tracker = RecoveryPhaseTracker(10.0, 0.0)
+    assert tracker.update(counts(0, answered=2), 0.1) is Phase.FINDING
+    assert tracker.update(counts(8, tunnels_waiting=False, answered=2), 0.2) is Phase.FINDING
+    assert tracker.update(counts(8), 0.5) is Phase.FILLING
+    assert tracker.update(counts(2), 5.0) is Phase.FILLING
+    assert tracker.update(counts(1), 5.1) is Phase.FILLING
+    assert tracker.update(counts(1), 5.0 + MIN_FILLING_TIME * 10.0) is Phase.STEADY
+    assert tracker.update(counts(2), 9.0) is Phase.STEADY
+    assert tracker.update(counts(3, tunnels_waiting=False), 9.1) is Phase.STEADY
+    assert tracker.update(counts(3), 9.2) is Phase.FILLING
 
 
-def test_one_that_hears_of_no_server_does_not_look_for_ever() -> None:
-    standing = RecoveryPhaseTracker(10.0, 0.0)
-    assert standing.update(look(0, heard=0), 9.9) is Phase.FINDING
-    assert standing.update(look(0, heard=0), MAX_FINDING_TIME * 10.0) is Phase.STEADY
+def test_finding_ends_even_if_no_server_answers() -> None:
+    tracker = RecoveryPhaseTracker(10.0, 0.0)
+    assert tracker.update(counts(0, answered=0), 9.9) is Phase.FINDING
+    assert tracker.update(counts(0, answered=0), MAX_FINDING_TIME * 10.0) is Phase.STEADY
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 10), st.integers(0, 10), st.booleans()), max_size=200))
-def test_a_load_at_the_mark_changes_the_phase_a_few_times(looks: list[tuple[int, int, bool]]) -> None:
-    # Each stay in `filling` is a quarter of the warm-up at least, whatever is seen.
-    standing = RecoveryPhaseTracker(10.0, 0.0, Phase.STEADY)
+def test_a_cold_share_around_the_bounds_changes_the_phase_rarely(
+    observations: list[tuple[int, int, bool]],
+) -> None:
+    # `filling` lasts at least a quarter of the warm-up window, whatever is observed.
+    tracker = RecoveryPhaseTracker(10.0, 0.0, Phase.STEADY)
     entered = []
-    for step, (heard, cold, waits) in enumerate(looks):
-        was = standing.phase
+    for step, (answered, cold, tunnels_waiting) in enumerate(observations):
+        previous = tracker.phase
         if (
-            standing.update(ServerCounts(10, heard, cold, waits), step * 0.1) is not was
-            and was is Phase.STEADY
+            tracker.update(ServerCounts(10, answered, cold, tunnels_waiting), step * 0.1) is not previous
+            and previous is Phase.STEADY
         ):
             entered.append(step * 0.1)
-    assert len(entered) <= 1 + len(looks) * 0.1 / (MIN_FILLING_TIME * 10.0)
+    assert len(entered) <= 1 + len(observations) * 0.1 / (MIN_FILLING_TIME * 10.0)
 
 
-def test_who_is_served_first_by_credit_then_by_coming_back() -> None:
+def test_queue_priority_is_by_credit_then_by_returning_clients() -> None:
     high, low = (Profile("repeatable", "all", 0.0, 0.3, 1.8, credit) for credit in (2.0, 1.0))
     order = [(high, True), (high, False), (low, True), (low, False)]
-    assert sorted(reversed(order), key=lambda who: queue_priority(*who)) == order
+    assert sorted(reversed(order), key=lambda entry: queue_priority(*entry)) == order
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize(("count", "waiting"), [(40, 3), (40, 40), (6, 1)])
-@pytest.mark.parametrize(("loss", "late"), [(0.0, 0.03), (0.3, 1.5)])
-def test_no_cold_server_gets_more_than_it_can_take_when_all_come_at_once(
-    seed: int, count: int, waiting: int, loss: float, late: float
+@pytest.mark.parametrize(("loss", "max_delay"), [(0.0, 0.03), (0.3, 1.5)])
+def test_no_cold_server_is_overloaded_when_tunnels_arrive_at_all_balancers(
+    seed: int, count: int, waiting: int, loss: float, max_delay: float
 ) -> None:
-    # A few have the parts of all others out on loan when at each balancer five tunnels come.
-    world = World(count, 4, waiting, 60.0 / waiting, seed, loss_rate=loss, max_delay=late)
+    # A few balancers hold the shares of the others when five tunnels arrive at each balancer.
+    world = World(count, 4, waiting, 60.0 / waiting, seed, loss_rate=loss, max_delay=max_delay)
     world.run(6.0, 3.0)
     assert world.max_overload_ratio() <= 1.0
     assert world.count_placements() > 10
 
 
-def test_where_eight_of_two_hundred_wait_loans_open_more_of_their_tunnels() -> None:
-    alone, lent = (World(200, 8, 8, 5.0, leases_enabled=on) for on in (False, True))
-    for world in (alone, lent):
+def test_with_eight_of_two_hundred_in_need_leases_open_more_tunnels() -> None:
+    without, with_leases = (World(200, 8, 8, 5.0, leases_enabled=enabled) for enabled in (False, True))
+    for world in (without, with_leases):
         world.run(4.0, 99.0)
-    assert lent.count_placements() > 3 * alone.count_placements() > 0
+    assert with_leases.count_placements() > 3 * without.count_placements() > 0
