--- a/tests/fleet/__init__.py
+++ b/tests/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Several processes of the program beside stand-ins, with faults between them.
+"""Tests with several real processes of the program, stand-in servers, and faults between them.
 
-Each case is a day of the rig: real daemons, servers, discovery and clients as processes, troubles by its
-seed. It is judged by what servers, clients and discovery wrote down, never by the word of a balancer.
+Each case is one run of the testbed: daemons, servers, discovery and clients as processes, and troubles by its
+seed. Cases are judged by what servers, clients and discovery recorded, never by a balancer's own statements.
 """
