--- a/pointgw/cluster/node.py
+++ b/pointgw/cluster/node.py
@@ -19,10 +19,10 @@
 from pointgw.cluster.observations import ZoneEstimate, ZoneObservation, ZoneObservations
 from pointgw.cluster.plan import Plan, ProfileCosts, RegionLinks
 
-CLOSE_BELOW = 0.1  # share of a zone's warm capacity; with less available it should be closed
-REOPEN_ABOVE = 0.3  # share of a zone's warm capacity; with more available it may be opened again
-CLOSE_PERIODS = 2  # periods that a zone has to be below CLOSE_BELOW
-REOPEN_PERIODS = 16  # periods that a closed zone has to be above REOPEN_ABOVE
+CLOSE_BELOW = 0.1  # of a zone's warm capacity: with no more than this it should be closed
+REOPEN_ABOVE = 0.3  # of a zone's warm capacity: with more than this it may be reopened
+CLOSE_PERIODS = 2  # periods for which that must last before closing is proposed
+REOPEN_PERIODS = 16  # periods for which that must last before reopening is proposed
 VOTE_FANOUT = 3  # random members that receive a changed vote at once
 MIN_VOTE_INTERVAL = 0.25  # of a period: shortest interval between two such broadcasts
 
@@ -180,9 +180,8 @@
         for receiver, packet in packets:
             if packet.kind != wire.HELLO:
                 packet = msgspec.structs.replace(packet, vote=self.agreement.vote_to_send())
-                spare_bytes = (
-                    wire.MAX_DATAGRAM_BYTES - wire.encoded_size(packet) - 4
-                )  # bytes: a longer array header
+                # Four bytes are kept for a longer array header.
+                spare_bytes = wire.MAX_DATAGRAM_BYTES - wire.encoded_size(packet) - 4
                 if spare_bytes < 0:  # the vote takes precedence over updates
                     packet = msgspec.structs.replace(packet, updates=packet.updates[:1])
                     spare_bytes = wire.MAX_DATAGRAM_BYTES - wire.encoded_size(packet) - 4
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -97,13 +97,13 @@
 def test_all_members_find_each_other_and_learn_of_a_death(size: int) -> None:
     world = SimulatedCluster(size)
     world.run(10.0)
-    assert all(there == list(range(size)) for there in world.live_members())
+    assert all(live == list(range(size)) for live in world.live_members())
     del world.nodes[0]
     world.run(6.0)
-    assert all(there == list(range(1, size)) for there in world.live_members())
+    assert all(live == list(range(1, size)) for live in world.live_members())
     world.start(0)
     world.run(8.0)
-    assert all(there == list(range(size)) for there in world.live_members())
+    assert all(live == list(range(size)) for live in world.live_members())
 
 
 @pytest.mark.parametrize("size", [6, 40])
@@ -114,7 +114,7 @@
     wrong = 0
     for _ in range(60):
         world.run(0.5)
-        wrong += sum(len(there) < size for there in world.live_members())
+        wrong += sum(len(live) < size for live in world.live_members())
     assert wrong < 0.02 * 60 * size
 
 
@@ -123,13 +123,13 @@
     world.run(10.0)
     world.paused = {0}
     world.run(10.0)
-    assert all(0 not in there for there in world.live_members())
+    assert all(0 not in live for live in world.live_members())
     world.paused = set()
     world.run(0.6)
     assert world.nodes[0].members.pause_count == 1
     assert len(world.nodes[0].members.live_members()) == 6  # its own pause makes nobody dead
     world.run(5.0)
-    assert all(there == list(range(6)) for there in world.live_members())
+    assert all(live == list(range(6)) for live in world.live_members())
 
 
 def test_replayed_datagrams_and_those_of_another_run_have_no_effect() -> None:
@@ -241,7 +241,7 @@
 def test_no_estimates_give_a_plan_over_the_utilisation_bound_or_shares_over_one(
     figures: list[tuple[float, float, float]], closed: int
 ) -> None:
-    zones = tuple(zone(room, *demand) for room, *demand in figures)
+    zones = tuple(zone(zone_capacity, *demand) for zone_capacity, *demand in figures)
     closed &= (1 << len(zones)) - 1
     links = RegionLinks(tuple(z // 2 for z in range(len(zones))), {}, {})
     computed = plan.compute_plan(zones, KINDS, links, closed)
@@ -261,7 +261,7 @@
     world = SimulatedCluster(40, zones=10)
     world.loss = 0.3
     world.run(20.0)
-    assert all(len(there) == 40 for there in world.live_members())
+    assert all(len(live) == 40 for live in world.live_members())
     for node in world.nodes.values():
         node.members.false_deaths = 0
     world.run(10.0)
@@ -270,7 +270,7 @@
 
 # Agreement.
 
-STEPS = ["die", "back", "split", "heal", "loss", "gone", "well"]
+STEPS = ["death", "restart", "partition", "heal", "loss", "zone down", "zone up"]
 
 
 def test_a_zone_without_capacity_is_closed_by_all_and_reopened_after_it_returns() -> None:
@@ -300,7 +300,7 @@
     world.partition, world.capacity_seen_by = set(), {}
     world.run(3.0)
     assert len({node.plan.closed_zones for node in world.nodes.values()}) == 1
-    assert all(there == list(range(6)) for there in world.live_members())
+    assert all(live == list(range(6)) for live in world.live_members())
 
 
 def test_a_member_with_a_local_network_fault_closes_nothing() -> None:
@@ -336,25 +336,25 @@
     world.run(5.0)
     for step in steps:
         match step:
-            case "die" if len(world.nodes) > 3:
+            case "death" if len(world.nodes) > 3:
                 del world.nodes[max(world.nodes)]
-            case "back":
+            case "restart":
                 for number in set(range(5)) - set(world.nodes):
                     world.start(number)
-            case "split":
+            case "partition":
                 world.partition = {0, 1}
             case "heal":
                 world.partition = set()
             case "loss":
                 world.loss = 0.3
-            case "gone":
+            case "zone down":
                 world.capacity = [8.0, 0.0, 8.0]
             case _:
                 world.capacity = [8.0] * 3
         world.run(2.0)
     world.partition, world.loss = set(), 0.0
     world.run(15.0)
-    assert len({tuple(there) for there in world.live_members()}) == 1
+    assert len({tuple(live) for live in world.live_members()}) == 1
     assert len(world.closed_zones()) == 1
     plans = [node.plan for node in world.nodes.values()]
     assert max(plans[0].max_difference(other) for other in plans) < 3 * plan.SHARE_DEADBAND
