--- a/pointgw/command/main.py
+++ b/pointgw/command/main.py
@@ -266,9 +266,9 @@
 ) -> int:  # fmt: skip
     """Open tunnels at a rate and report their latency, counted from the planned start of each."""
     from pointgw.command.rig import load_and_show
-    from pointgw.testbed.load import Load
+    from pointgw.testbed.load_generator import LoadGenerator
 
-    return load_and_show(Load(to, rate, seconds, life, profile, timeout, seed), as_json)
+    return load_and_show(LoadGenerator(to, rate, seconds, life, profile, timeout, seed), as_json)
 
 
 @pointgw.command("stand-in")
--- a/pointgw/command/rig.py
+++ b/pointgw/command/rig.py
@@ -19,7 +19,7 @@
 from pointgw.testbed import meta as rig_meta
 from pointgw.testbed import records, table
 from pointgw.testbed.alone import Alone
-from pointgw.testbed.load import Load
+from pointgw.testbed.load_generator import LoadGenerator
 from pointgw.testbed.play import Play, Void
 from pointgw.testbed.referee import judge, report
 from pointgw.testbed.results import Result, result
@@ -143,7 +143,7 @@
     raise validation.InvalidFileError(path, [validation.InvalidValue("", "", expected)])
 
 
-def load_and_show(load: Load, as_json: bool) -> int:
+def load_and_show(load: LoadGenerator, as_json: bool) -> int:
     """Opens tunnels and prints the figures. Exit code 1: none could be opened."""
     figures = uvloop.run(load.run())
     text = (
--- a/pointgw/testbed/layout.py
+++ b/pointgw/testbed/address_plan.py
@@ -9,34 +9,34 @@
 from dataclasses import dataclass
 
 SERVER_PORT, BALANCER_PORT, DISCOVERY_PORT, PEER_PORT = 9000, 8443, 8500, 7946
-FIRST, COUNT = 64, 128  # second octets that runs use
+FIRST_OCTET, OCTET_COUNT = 64, 128  # second octets that runs use
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Layout:
+class AddressPlan:
     run: int  # any number, such as a process id
 
     def _ip(self, third: int, fourth: int) -> str:
-        return f"127.{FIRST + self.run % COUNT}.{third}.{fourth}"
+        return f"127.{FIRST_OCTET + self.run % OCTET_COUNT}.{third}.{fourth}"
 
     def server(self, server: int, balancer: int) -> Address:
         return self._ip(1 + balancer, 1 + server), SERVER_PORT
 
-    def server_box(self, server: int, balancer: int) -> Address:
+    def server_proxy(self, server: int, balancer: int) -> Address:
         return self._ip(101 + balancer, 1 + server), SERVER_PORT
 
     def balancer(self, balancer: int) -> Address:
         return self._ip(255, 1 + balancer), BALANCER_PORT
 
-    def balancer_box(self, balancer: int) -> Address:
+    def balancer_proxy(self, balancer: int) -> Address:
         return self._ip(253, 1 + balancer), BALANCER_PORT
 
     def peer(self, balancer: int) -> Address:
         return self._ip(255, 1 + balancer), PEER_PORT
 
-    def peer_box(self, balancer: int, to: int) -> Address:
+    def peer_proxy(self, balancer: int, to: int) -> Address:
         """Where a balancer finds another, through the box of that way."""
         return self._ip(1 + balancer, 1 + to), PEER_PORT
 
@@ -44,5 +44,5 @@
         return self._ip(254, 1 + balancer), DISCOVERY_PORT
 
 
-def shown(address: Address) -> str:
+def format_address(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
--- a/pointgw/testbed/alone.py
+++ b/pointgw/testbed/alone.py
@@ -14,10 +14,10 @@
 import msgspec
 
 from pointgw.testbed import start_up
+from pointgw.testbed.address_plan import Address, format_address
 from pointgw.testbed.discovery import Discovery
-from pointgw.testbed.layout import Address, shown
 from pointgw.testbed.records import Writer
-from pointgw.testbed.roster import Line
+from pointgw.testbed.registry import Line
 from pointgw.testbed.scenario import Fleet, Kind, Scenario
 from pointgw.testbed.server import Server
 
@@ -50,11 +50,13 @@
         for i in range(fleet.servers):
             at = (self.listen[0], self.listen[1] + i if self.listen[1] else _free(self.listen[0]))
             name = f"s-{i}"
-            told = {"who": name, "seed": 1} | start_up.server(self.scenario, self.capacity, 1, 0.0, [at])
+            told = {"who": name, "seed": 1} | start_up.server_start_values(
+                self.scenario, self.capacity, 1, 0.0, [at]
+            )
             server = Server(told, writer)
             await server.serve()
             self.servers.append(server)
-            addresses[name] = shown(at)
+            addresses[name] = format_address(at)
             lines.append(Line(name, fleet.zones[i % len(fleet.zones)], "m", 0, "up", 0))
         if not self.discovery[1]:
             self.discovery = (self.discovery[0], _free(self.discovery[0]))
@@ -62,7 +64,7 @@
         self.roster = Discovery(told | {"lines": [asdict(line) for line in lines]}, writer)
         await self.roster.serve()
         if self.config is not None:
-            config = start_up.balancer(
+            config = start_up.balancer_start_file(
                 self.scenario, "n0", 0, 1, self.balancer, self.discovery, lines, addresses
             )
             Path(self.config).write_text(json.dumps(config, indent=1))
@@ -72,7 +74,10 @@
         if self.config is None:
             self.config = str(Path(tempfile.mkdtemp(prefix="pointgw-")) / "config.json")
         await self.start()
-        print(f"{len(self.servers)} servers from {shown(self.listen)}, discovery {shown(self.discovery)}")
+        print(
+            f"{len(self.servers)} servers from {format_address(self.listen)}, "
+            f"discovery {format_address(self.discovery)}"
+        )
         print(f"a balancer in front of them: GW_CONFIG={self.config} pointgw", flush=True)
         await asyncio.Event().wait()
 
--- a/pointgw/testbed/demand.py
+++ b/pointgw/testbed/demand.py
@@ -13,49 +13,49 @@
 
 from pointgw.testbed.scenario import Demand, Scenario
 
-STANDING_WITHIN = 3.0  # seconds in which those that stand from the start come
+STANDING_ARRIVAL_SECONDS = 3.0  # seconds in which those that stand from the start come
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class ClientArrival:
     """One client: when it comes, how long it wants to stay, and what it asks of its server."""
 
     number: int
     at: float  # seconds from the scenario's start
-    life: float
+    lifetime: float
     load: float
     profile: int
     zone: int
     group: str
-    slow: bool
+    slow_reader: bool
 
 
-def median_work(demand: Demand) -> float:
+def mean_tunnel_work(demand: Demand) -> float:
     """Work that a tunnel asks in its life, by the means of the two lognormals."""
     return demand.load * demand.life * exp((demand.load_sigma**2 + demand.life_sigma**2) / 2)
 
 
-def wishes(scenario: Scenario) -> Iterator[Wish]:
+def client_arrivals(scenario: Scenario) -> Iterator[ClientArrival]:
     """All clients of a scenario, in order of arrival."""
     demand = scenario.demand
     rng = Random(f"{scenario.seed}/demand")
-    for number, at in enumerate(_times(scenario, rng)):
+    for number, at in enumerate(_arrival_times(scenario, rng)):
         group = f"g{int(demand.groups * rng.random() ** 2)}" if demand.groups else ""
-        yield Wish(
+        yield ClientArrival(
             number=number,
             at=at,
-            life=max(1.0, rng.lognormvariate(0.0, demand.life_sigma) * demand.life),
+            lifetime=max(1.0, rng.lognormvariate(0.0, demand.life_sigma) * demand.life),
             load=rng.lognormvariate(0.0, demand.load_sigma) * demand.load,
             profile=rng.choices(range(len(scenario.profile)), [p.share for p in scenario.profile])[0],
             zone=rng.randrange(len(scenario.fleet.zones)),
             group=group,
-            slow=rng.random() < demand.slow_readers,
+            slow_reader=rng.random() < demand.slow_readers,
         )
 
 
-def _times(scenario: Scenario, rng: Random) -> list[float]:
+def _arrival_times(scenario: Scenario, rng: Random) -> list[float]:
     demand = scenario.demand
-    times = [rng.uniform(0.0, STANDING_WITHIN) for _ in range(demand.standing)]
+    times = [rng.uniform(0.0, STANDING_ARRIVAL_SECONDS) for _ in range(demand.standing)]
     at = 0.0
     bursts = [t for t in scenario.trouble if t.what == "burst"]
     while True:
@@ -73,7 +73,7 @@
     return sorted(times)
 
 
-def back_off(demand: Demand, tries: int, rng: Random) -> float:
+def retry_delay(demand: Demand, tries: int, rng: Random) -> float:
     """Seconds until a client comes again after so many tries."""
     wait: float = min(demand.retry_last, demand.retry_first * 2**tries)
     return wait * rng.uniform(0.5, 1.5)
--- a/pointgw/testbed/links.py
+++ b/pointgw/testbed/links.py
@@ -8,18 +8,18 @@
 
 from pointgw.fault_proxy.proxy import FaultProxy
 from pointgw.fault_proxy.script import Script
-from pointgw.testbed import child
+from pointgw.testbed import child_process
 from pointgw.testbed.records import Writer
 
 
-async def part(told: child.Told, writer: Writer) -> child.Take:
+async def start(told: child_process.Message, writer: Writer) -> child_process.CommandHandler:
     boxes: dict[str, FaultProxy] = {}
     for name, listen, to in told["links"]:
         box = FaultProxy(Script(), int(told["seed"]), tuple(to), tuple(listen))
         await box.start()
         boxes[name] = box
 
-    def take(command: child.Told) -> None:
+    def take(command: child_process.Message) -> None:
         script = msgspec.convert({"rule": command["rule"]}, Script)
         for name in command["names"]:
             boxes[name].replace_script(script)
@@ -28,4 +28,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(child.run(part))
+    sys.exit(child_process.run(start))
--- a/pointgw/testbed/load.py
+++ b/pointgw/testbed/load_generator.py
@@ -13,51 +13,51 @@
 from pointgw.net.run.lingering_close import close_gracefully
 from pointgw.net.wire.lines import LINE_END
 
-AFTER = 0.2  # seconds beyond the client timeout in which last answers come
+LAST_ANSWER_SECONDS = 0.2  # seconds beyond the client timeout in which last answers come
 
 
 class Tunnel(asyncio.Protocol):
     """One tunnel: its line, its answer, its end."""
 
-    __slots__ = ("answered", "due", "load", "number", "transport")
+    __slots__ = ("answered", "due", "generator", "number", "transport")
 
-    def __init__(self, load: Load, number: int, due: float) -> None:
-        self.load, self.number, self.due = load, number, due
+    def __init__(self, load: LoadGenerator, number: int, due: float) -> None:
+        self.generator, self.number, self.due = load, number, due
         self.answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        load = self.load
+        load = self.generator
         line = f"OPEN {load.rng.getrandbits(64):016x} k{self.number:x} c={load.profile},t=all"
         self.transport.write(f"{line},d={round(load.timeout * 1e3)}".encode() + LINE_END)
-        load.loop.call_later(load.timeout, self._late)
+        load.loop.call_later(load.timeout, self._time_out)
 
     def data_received(self, data: bytes) -> None:
         if not self.answered:
             word = data.split(b" ", 1)[0].strip()
-            self._answer({b"UP": "opened", b"BUSY": "declined"}.get(word, "failed"))
+            self._record_answer({b"UP": "opened", b"BUSY": "declined"}.get(word, "failed"))
             if word == b"UP":
-                self.load.loop.call_later(self.load.life, close_gracefully, self.transport)
+                self.generator.loop.call_later(self.generator.lifetime, close_gracefully, self.transport)
             else:
                 self.transport.close()
 
-    def _answer(self, how: str) -> None:
+    def _record_answer(self, how: str) -> None:
         self.answered = True
-        self.load.answers[how] += 1
+        self.generator.answers[how] += 1
         if how == "opened":
-            self.load.times.record_value(max(1, round((time.monotonic() - self.due) * 1e6)))
+            self.generator.setup_times.record_value(max(1, round((time.monotonic() - self.due) * 1e6)))
 
-    def _late(self) -> None:
+    def _time_out(self) -> None:
         if not self.answered:
-            self._answer("none")
+            self._record_answer("none")
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         if not self.answered:
-            self._answer("lost")
+            self._record_answer("lost")
 
 
-class Load:
+class LoadGenerator:
     """`rate` new tunnels a second for `seconds`; all times in seconds."""
 
     def __init__(
@@ -70,10 +70,10 @@
         timeout: float,
         seed: int,
     ) -> None:
-        self.to, self.rate, self.seconds, self.life = to, rate, seconds, life
+        self.address, self.rate, self.seconds, self.lifetime = to, rate, seconds, life
         self.profile, self.timeout, self.rng = profile, timeout, Random(seed)
         self.answers: Counter[str] = Counter()
-        self.times = HdrHistogram(1, 120_000_000, 3)
+        self.setup_times = HdrHistogram(1, 120_000_000, 3)
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> dict[str, float]:
@@ -90,15 +90,15 @@
             number += 1
             at += self.rng.expovariate(self.rate)
         took = time.monotonic() - began
-        await asyncio.sleep(self.timeout + AFTER)
+        await asyncio.sleep(self.timeout + LAST_ANSWER_SECONDS)
         told: dict[str, float] = {"asked": number, "seconds": round(took, 3)}
         told |= {how: self.answers[how] for how in ("opened", "declined", "failed", "none", "lost")}
         for quantile in (50.0, 99.0, 100.0):
-            told[f"p{quantile:g}_ms"] = self.times.get_value_at_percentile(quantile) / 1e3
+            told[f"p{quantile:g}_ms"] = self.setup_times.get_value_at_percentile(quantile) / 1e3
         return told
 
     async def _open(self, number: int, due: float) -> None:
         try:
-            await self.loop.create_connection(lambda: Tunnel(self, number, due), *self.to)
+            await self.loop.create_connection(lambda: Tunnel(self, number, due), *self.address)
         except OSError:
             self.answers["lost"] += 1
--- a/pointgw/testbed/play.py
+++ b/pointgw/testbed/play.py
@@ -18,11 +18,11 @@
 import msgspec
 
 from pointgw.testbed import start_up
+from pointgw.testbed.address_plan import Address, AddressPlan, format_address
 from pointgw.testbed.baseline import POLICIES
-from pointgw.testbed.layout import Address, Layout, shown
 from pointgw.testbed.meta import Meta
 from pointgw.testbed.records import Balancer, Machine, Mark, Writer
-from pointgw.testbed.roster import Line
+from pointgw.testbed.registry import Line
 from pointgw.testbed.scenario import Fleet, Scenario
 from pointgw.testbed.timeline import Moment, moments
 
@@ -72,7 +72,7 @@
             raise ValueError(f"expected one of {', '.join(POLICIES)}, got {policy!r}")
         self.scenario, self.folder, self.policy, self.live = scenario, folder, policy, live
         self.between = between  # called with a balancer's memory while it is down
-        self.layout = Layout(os.getpid() if run is None else run)
+        self.layout = AddressPlan(os.getpid() if run is None else run)
         self.fleet: Fleet = scenario.fleet
         self.moments = moments(scenario)
         self.parts: dict[str, Part] = {}
@@ -133,7 +133,7 @@
         self.keeper = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "pointgw.testbed.keeper",
+            "pointgw.testbed.process_reaper",
             stdin=asyncio.subprocess.PIPE,
             start_new_session=True,
         )
@@ -212,13 +212,13 @@
         """Where this balancer finds each, itself among them, and where it listens."""
         own = self.layout.peer(balancer)
         others = range(self.fleet.balancers)
-        return [own if b == balancer else self.layout.peer_box(balancer, b) for b in others], own
+        return [own if b == balancer else self.layout.peer_proxy(balancer, b) for b in others], own
 
     def _addresses(self, balancer: int) -> dict[str, str]:
         """Of each server, as this balancer is told them."""
         return {
-            self._name(i): shown(
-                self.layout.server_box(i, balancer)
+            self._name(i): format_address(
+                self.layout.server_proxy(i, balancer)
                 if i in self.boxed_servers
                 else self.layout.server(i, balancer)
             )
@@ -273,7 +273,7 @@
         self.starts[server] = self.starts.get(server, 0) + 1
         listen = [self.layout.server(server, b) for b in range(self.fleet.balancers)]
         capacity, start = self.kinds[server].capacity, self.starts[server]
-        told = start_up.server(self.scenario, capacity, start, since, listen)
+        told = start_up.server_start_values(self.scenario, capacity, start, since, listen)
         await self._part(self._name(server), "server", told)
 
     async def _start_discovery(self) -> None:
@@ -288,18 +288,18 @@
         links: list[tuple[str, Address, Address]] = []
         for b in range(self.fleet.balancers):
             links += [
-                (f"{self._name(i)}/{b}", self.layout.server_box(i, b), self.layout.server(i, b))
+                (f"{self._name(i)}/{b}", self.layout.server_proxy(i, b), self.layout.server(i, b))
                 for i in self.boxed_servers
             ]
             if self.boxed_clients:
-                links.append((f"clients/{b}", self.layout.balancer_box(b), self.layout.balancer(b)))
+                links.append((f"clients/{b}", self.layout.balancer_proxy(b), self.layout.balancer(b)))
         if links:
             await self._part("links", "links", {"links": links})
 
     async def _start_peers(self) -> None:
         all_of_them = range(self.fleet.balancers)
         ways = [
-            (a, b, self.layout.peer_box(a, b), self.layout.peer(b))
+            (a, b, self.layout.peer_proxy(a, b), self.layout.peer(b))
             for a in all_of_them
             for b in all_of_them
             if a != b
@@ -308,7 +308,7 @@
 
     async def _start_balancer(self, number: int) -> None:
         name = f"n{number}"
-        told = start_up.balancer(
+        told = start_up.balancer_start_file(
             self.scenario, name, self._zone_of(number), self.scenario.seed * 1000 + number,
             self.layout.balancer(number), self.layout.discovery(number),
             [self._line(i, "up", 0.0) for i in range(self.fleet.servers)], self._addresses(number),
@@ -339,7 +339,7 @@
 
     async def _start_clients(self) -> Part:
         doors = [
-            self.layout.balancer_box(b) if self.boxed_clients else self.layout.balancer(b)
+            self.layout.balancer_proxy(b) if self.boxed_clients else self.layout.balancer(b)
             for b in range(self.fleet.balancers)
         ]
         told = {
--- a/pointgw/testbed/referee.py
+++ b/pointgw/testbed/referee.py
@@ -17,10 +17,10 @@
 import msgspec
 
 from pointgw.testbed import records as rec
-from pointgw.testbed.demand import median_work
-from pointgw.testbed.machine import SLACK as COLD_SLACK
+from pointgw.testbed.demand import mean_tunnel_work
 from pointgw.testbed.meta import Meta
 from pointgw.testbed.scenario import Profile
+from pointgw.testbed.server_model import SETUP_BUDGET_SLACK as COLD_SLACK
 
 LATE = 0.05  # seconds beyond each limit that sockets and timers take
 DEEMED = 6.0  # seconds after which what discovery has to tell counts as told
@@ -307,9 +307,7 @@
         told: dict[tuple[int, str], float] = {}  # since when a balancer knows a server as not to be used
         fact: dict[str, float] = {}  # since when discovery has it to tell
         well_since = -inf
-        sends = [
-            (took.began, took, name) for name, one in self.tries.items() for took in one.took
-        ]
+        sends = [(took.began, took, name) for name, one in self.tries.items() for took in one.took]
         events: list[tuple[float, int, object]] = [(began, 1, (took, name)) for began, took, name in sends]
         events += [(r.t, 0, r) for r in self.found if isinstance(r, rec.Wrote | rec.Changed | rec.Mark)]
         events += [(r.t, 0, r) for r in self.found if isinstance(r, rec.Balancer) and r.what == "started"]
@@ -375,7 +373,7 @@
                 if age > 1.0:
                     break
                 share = fleet.cold_from + (1 - fleet.cold_from) * max(0.0, age)
-                fills = capacity * share / median_work(demand)
+                fills = capacity * share / mean_tunnel_work(demand)
                 room = fleet.tip_multiple * fills * fleet.tip_seconds + COLD_SLACK
                 came = i + 1 - bisect_left(times, at - fleet.tip_seconds)
                 if came > room:
--- a/pointgw/testbed/roster.py
+++ b/pointgw/testbed/registry.py
@@ -6,13 +6,13 @@
 from enum import Enum
 from typing import Any
 
-KEPT = 200  # changes after which an old version is answered with the whole list
+KEPT_CHANGES = 200  # changes after which an old version is answered with the whole list
 
 
-class Serving(Enum):
+class AnswerMode(Enum):
     """How discovery answers."""
 
-    WELL = "well"
+    NORMAL = "well"
     SILENT = "silent"  # takes calls and says nothing
     BUSY = "503"
     RESET = "reset"
@@ -33,16 +33,16 @@
 
 
 @dataclass(slots=True)
-class Roster:
+class Registry:
     index: int = 1
     lines: dict[str, Line] = field(default_factory=dict)
     changes: list[tuple[int, Line]] = field(default_factory=list)
-    serving: Serving = Serving.WELL
+    answer_mode: AnswerMode = AnswerMode.NORMAL
     held_back: list[Line] = field(default_factory=list)  # changes while stale
 
-    def change(self, line: Line) -> bool:
+    def apply(self, line: Line) -> bool:
         """Takes a change; False where it is held back."""
-        if self.serving is Serving.STALE:
+        if self.answer_mode is AnswerMode.STALE:
             self.held_back.append(line)
             return False
         self.index += 1
@@ -50,18 +50,18 @@
             self.lines.pop(line.name, None)
         else:
             self.lines[line.name] = line
-        self.changes = [*self.changes, (self.index, line)][-KEPT:]
+        self.changes = [*self.changes, (self.index, line)][-KEPT_CHANGES:]
         return True
 
-    def serve(self, serving: Serving) -> list[Line]:
+    def set_answer_mode(self, serving: AnswerMode) -> list[Line]:
         """Turns to another way of answering; gives what was held back and is told now."""
-        self.serving = serving
-        told, self.held_back = ([], self.held_back) if serving is Serving.STALE else (self.held_back, [])
+        self.answer_mode = serving
+        told, self.held_back = ([], self.held_back) if serving is AnswerMode.STALE else (self.held_back, [])
         for line in told:
-            self.change(line)
+            self.apply(line)
         return told
 
-    def restart_lower(self) -> None:
+    def reset_index(self) -> None:
         """A discovery that lost its memory counts its versions anew."""
         self.index, self.changes = 1, []
 
@@ -69,20 +69,24 @@
         """The whole list, or what came after a version; None where a watch has nothing to tell yet."""
         oldest = self.changes[0][0] if self.changes else self.index + 1
         if after is None or after > self.index or (after < self.index and after + 1 < oldest):
-            return self._told(True, list(self.lines.values()), addresses)
+            return self._answer_body(True, list(self.lines.values()), addresses)
         if after == self.index:
             return None
         latest = {line.name: line for index, line in self.changes if index > after}
-        return self._told(False, list(latest.values()), addresses)
+        return self._answer_body(False, list(latest.values()), addresses)
 
-    def nothing_new(self) -> dict[str, Any]:
+    def unchanged_answer(self) -> dict[str, Any]:
         return {"index": self.index, "snapshot": False, "endpoints": []}
 
-    def _told(self, whole: bool, lines: list[Line], addresses: dict[str, str]) -> dict[str, Any]:
-        return {"index": self.index, "snapshot": whole, "endpoints": [entry(x, addresses) for x in lines]}
+    def _answer_body(self, whole: bool, lines: list[Line], addresses: dict[str, str]) -> dict[str, Any]:
+        return {
+            "index": self.index,
+            "snapshot": whole,
+            "endpoints": [endpoint_entry(x, addresses) for x in lines],
+        }
 
 
-def entry(line: Line, addresses: dict[str, str]) -> dict[str, Any]:
+def endpoint_entry(line: Line, addresses: dict[str, str]) -> dict[str, Any]:
     """A server's line as discovery writes it."""
     return {
         "name": line.name, "address": addresses[line.name], "zone": line.zone, "type": line.kind,
--- a/pointgw/testbed/server.py
+++ b/pointgw/testbed/server.py
@@ -18,117 +18,127 @@
 from pointgw.net.run.lingering_close import close_gracefully
 from pointgw.net.wire.lines import LINE_END, MOVE, pop_line
 from pointgw.site import Malformed
-from pointgw.testbed import child
-from pointgw.testbed.machine import Health, Held, Machine, Make
+from pointgw.testbed import child_process
 from pointgw.testbed.records import Fell, Gone, Said, Started, State, Took, Writer
+from pointgw.testbed.server_model import Health, Make, ServedTunnel, ServerModel
 
-TURN = 0.02  # seconds between two turns of the machine
-DRAIN_STEP = 0.25  # seconds between two rounds of MOVE while draining
-SWINGS = 0.1  # of its tunnels whose load changes in a second
+MODEL_STEP_SECONDS = 0.02  # seconds between two turns of the machine
+DRAIN_STEP_SECONDS = 0.25  # seconds between two rounds of MOVE while draining
+LOAD_CHANGE_PROBABILITY = 0.1  # of its tunnels whose load changes in a second
 
 
-class Stage(Enum):
+class ConnectionState(Enum):
     """Where a connection to a server stands."""
 
-    FRESH = "fresh"  # probes, or the first line
+    NEW = "fresh"  # probes, or the first line
     SETTING_UP = "setting up"
-    UP = "up"
-    OVER = "over"
+    OPEN = "up"
+    CLOSED = "over"
 
 
-NEXT = {
-    Stage.FRESH: (Stage.SETTING_UP, Stage.OVER),
-    Stage.SETTING_UP: (Stage.UP, Stage.OVER),
-    Stage.UP: (Stage.OVER,),
-    Stage.OVER: (),
+TRANSITIONS = {
+    ConnectionState.NEW: (ConnectionState.SETTING_UP, ConnectionState.CLOSED),
+    ConnectionState.SETTING_UP: (ConnectionState.OPEN, ConnectionState.CLOSED),
+    ConnectionState.OPEN: (ConnectionState.CLOSED,),
+    ConnectionState.CLOSED: (),
 }
 
 
 class Connection(asyncio.Protocol):
-    __slots__ = ("balancer", "began", "buffer", "due", "fields", "name", "server", "stage", "transport")
+    __slots__ = (
+        "balancer",
+        "buffer",
+        "connected_at",
+        "fields",
+        "last_answer_due",
+        "server",
+        "state",
+        "transport",
+        "tunnel_id",
+    )
 
     def __init__(self, server: Server, balancer: int) -> None:
         self.server, self.balancer = server, balancer
         self.buffer = bytearray()
-        self.stage = Stage.FRESH
-        self.name = ""
+        self.state = ConnectionState.NEW
+        self.tunnel_id = ""
         self.fields: dict[str, str] = {}
-        self.due = 0.0  # when the latest answer goes out: none overtakes another
+        self.last_answer_due = 0.0  # when the latest answer goes out: none overtakes another
 
-    def to(self, stage: Stage) -> None:
+    def change_state(self, stage: ConnectionState) -> None:
         """The one place where a connection changes state."""
-        if stage not in NEXT[self.stage]:
-            raise ValueError(f"{self.stage.value} cannot become {stage.value}")
-        self.stage = stage
+        if stage not in TRANSITIONS[self.state]:
+            raise ValueError(f"{self.state.value} cannot become {stage.value}")
+        self.state = stage
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.began = time.monotonic()
-        if self.server.machine.health is Health.FALLEN:
+        self.connected_at = time.monotonic()
+        if self.server.model.health is Health.OVERLOADED:
             tcp.abort_with_reset(self.transport)
 
     def data_received(self, data: bytes) -> None:
-        if self.stage is Stage.OVER:
+        if self.state is ConnectionState.CLOSED:
             return
         self.buffer += data
         try:
             while (line := pop_line(self.buffer)) is not None:
-                self._line(line)
+                self._handle_line(line)
         except Malformed:
-            self.say(b"SYNTAX")
-            self.end("server")
+            self.send(b"SYNTAX")
+            self.close("server")
 
-    def _line(self, line: bytes) -> None:
+    def _handle_line(self, line: bytes) -> None:
         server = self.server
-        if self.stage is Stage.OVER:
+        if self.state is ConnectionState.CLOSED:
             return
-        if self.stage is Stage.UP:
-            self.later(server.machine.wait(), line)
-        elif self.stage is Stage.SETTING_UP:
+        if self.state is ConnectionState.OPEN:
+            self.send_later(server.model.answer_delay(), line)
+        elif self.state is ConnectionState.SETTING_UP:
             raise Malformed("expected nothing before the answer")
         elif line in (b"PING", b"STATS"):
-            if server.machine.health is not Health.HANGING:
-                told = b"" if line == b"PING" or not server.reports else b" " + server.report()
-                self.say(b"PONG" + told)
+            if server.model.health is not Health.HANGING:
+                told = b"" if line == b"PING" or not server.sends_reports else b" " + server.latest_report()
+                self.send(b"PONG" + told)
         else:
-            self._open(line)
+            self._begin_setup(line)
 
-    def _open(self, line: bytes) -> None:
+    def _begin_setup(self, line: bytes) -> None:
         words = line.split(b" ")
         if len(words) != 4 or words[0] != b"OPEN":
             raise Malformed("expected OPEN ID KEY PAIRS")
-        self.name = words[1].decode()
+        self.tunnel_id = words[1].decode()
         pairs = (pair.partition("=") for pair in words[3].decode().split(","))
         self.fields = {name: value for name, _, value in pairs}
-        self.to(Stage.SETTING_UP)
-        self.server.took(self)
+        self.change_state(ConnectionState.SETTING_UP)
+        self.server.setup_received(self)
 
-    def later(self, wait: float, line: bytes) -> None:
+    def send_later(self, wait: float, line: bytes) -> None:
         loop = self.server.loop
-        self.due = max(self.due, loop.time() + wait)
-        loop.call_at(self.due, self.say, line)
+        self.last_answer_due = max(self.last_answer_due, loop.time() + wait)
+        loop.call_at(self.last_answer_due, self.send, line)
 
-    def say(self, line: bytes) -> None:
-        if self.stage is not Stage.OVER:
+    def send(self, line: bytes) -> None:
+        if self.state is not ConnectionState.CLOSED:
             self.transport.write(line + LINE_END)
 
-    def answer(self, line: bytes) -> None:
+    def answer_setup(self, line: bytes) -> None:
         """The answer to a setup."""
-        if self.stage is Stage.SETTING_UP:
+        if self.state is ConnectionState.SETTING_UP:
             server = self.server
-            server.writer.write(Said(time.monotonic(), server.name, self.name, line.decode()))
-            self.say(line)
+            server.writer.write(Said(time.monotonic(), server.name, self.tunnel_id, line.decode()))
+            self.send(line)
             if line.startswith(b"UP"):
-                self.to(Stage.UP)
+                self.change_state(ConnectionState.OPEN)
             else:
-                self.end("server")
+                self.close("server")
 
-    def end(self, by: str, reset: bool = False) -> None:
-        if self.stage is Stage.OVER:
+    def close(self, by: str, reset: bool = False) -> None:
+        if self.state is ConnectionState.CLOSED:
             return
-        if self.name:
-            self.server.gone(self, by)
-        self.to(Stage.OVER)
+        if self.tunnel_id:
+            self.server.connection_ended(self, by)
+        self.change_state(ConnectionState.CLOSED)
         if reset:
             tcp.abort_with_reset(self.transport)
         elif by == "server":
@@ -137,173 +147,182 @@
             self.transport.close()
 
     def eof_received(self) -> None:
-        self.end("balancer")
+        self.close("balancer")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.end("balancer")
+        self.close("balancer")
 
 
 class Server:
     """One stand-in server."""
 
-    def __init__(self, told: child.Told, writer: Writer) -> None:
+    def __init__(self, told: child_process.Message, writer: Writer) -> None:
         now = time.monotonic()
-        self.name, self.writer, self.told = told["who"], writer, told
-        self.start = int(told["start"])
-        self.rng = Random(f"{told['seed']}/{self.name}/{self.start}")
+        self.name, self.writer, self.start_values = told["who"], writer, told
+        self.start_number = int(told["start"])
+        self.rng = Random(f"{told['seed']}/{self.name}/{self.start_number}")
         # Cold from the moment that discovery tells as its start; 0: long ago.
         since = float(told["since"])
         began = now - (time.time() - since) if since else 0.0
         make = msgspec.convert(told["make"], Make)
-        self.machine = Machine(make, began, now)
+        self.model = ServerModel(make, began, now)
         self.loop = asyncio.get_running_loop()
-        self.up: dict[str, Connection] = {}
-        self.reports = True
-        self.stuck = False
-        self.looks: deque[tuple[float, bytes]] = deque(maxlen=16)  # reports, and when each was made
-        self.made = 0  # receipts
-        self.drain_by = 0.0
-        self.opened: deque[float] = deque(maxlen=200)
-        writer.write(Started(began or now, self.name, self.start, bool(since)))
+        self.open_tunnels: dict[str, Connection] = {}
+        self.sends_reports = True
+        self.reports_frozen = False
+        self.report_history: deque[tuple[float, bytes]] = deque(maxlen=16)  # reports, and when each was made
+        self.receipt_count = 0  # receipts
+        self.drain_deadline = 0.0
+        self.recent_opens: deque[float] = deque(maxlen=200)
+        writer.write(Started(began or now, self.name, self.start_number, bool(since)))
 
     async def serve(self) -> None:
-        for number, (host, port) in enumerate(self.told["listen"]):
+        for number, (host, port) in enumerate(self.start_values["listen"]):
             await self.loop.create_server(partial(Connection, self, number), host, port, backlog=1024)
-        self.loop.call_soon(self._turn)
-        self.loop.call_soon(self._look)
-        self.loop.call_soon(self._each_second)
+        self.loop.call_soon(self._step_model)
+        self.loop.call_soon(self._make_report)
+        self.loop.call_soon(self._record_state)
 
     # Setups and tunnels.
 
-    def took(self, connection: Connection) -> None:
-        now, machine = time.monotonic(), self.machine
+    def setup_received(self, connection: Connection) -> None:
+        now, machine = time.monotonic(), self.model
         self.writer.write(
-            Took(now, self.name, connection.balancer, connection.name, connection.began, self.start)
+            Took(
+                now,
+                self.name,
+                connection.balancer,
+                connection.tunnel_id,
+                connection.connected_at,
+                self.start_number,
+            )
         )
         if machine.health is Health.HANGING:
             return
-        if machine.health in (Health.DRAINING, Health.FULL) or machine.full():
-            connection.answer(b"BUSY")
-        elif machine.health is Health.ERRORS and self.rng.random() < machine.errors:
-            connection.answer(b"ERR")
+        if machine.health in (Health.DRAINING, Health.FULL) or machine.is_full():
+            connection.answer_setup(b"BUSY")
+        elif machine.health is Health.ERRORS and self.rng.random() < machine.error_share:
+            connection.answer_setup(b"ERR")
         else:
-            wait = machine.setup(now)
-            if machine.health is Health.FALLEN:
-                self._fall(now)
+            wait = machine.add_setup(now)
+            if machine.health is Health.OVERLOADED:
+                self._reset_all_tunnels(now)
             else:
-                self.loop.call_later(wait, self._stands, connection)
+                self.loop.call_later(wait, self._finish_setup, connection)
 
-    def _stands(self, connection: Connection) -> None:
-        if connection.stage is not Stage.SETTING_UP or connection.name in self.up:
+    def _finish_setup(self, connection: Connection) -> None:
+        if connection.state is not ConnectionState.SETTING_UP or connection.tunnel_id in self.open_tunnels:
             return
         fields = connection.fields
         load, swing = float(fields.get("w", "4000")) / 1e6, float(fields.get("s", "0"))
-        self.machine.turn(time.monotonic())
-        self.machine.take(Held(connection.name, fields.get("g", ""), load, swing))
-        self.up[connection.name] = connection
-        self.opened.append(time.monotonic())
-        self.made += 1
-        connection.answer(b"UP %s-%d-%d" % (self.name.encode(), self.start, self.made))
-        self._tell_load(connection, load)
-
-    def _tell_load(self, connection: Connection, load: float) -> None:
-        if self.told["tells_load"]:
-            connection.say(b"LOAD %d" % round(load * 1e6))
-
-    def gone(self, connection: Connection, by: str) -> None:
+        self.model.advance(time.monotonic())
+        self.model.add_tunnel(ServedTunnel(connection.tunnel_id, fields.get("g", ""), load, swing))
+        self.open_tunnels[connection.tunnel_id] = connection
+        self.recent_opens.append(time.monotonic())
+        self.receipt_count += 1
+        connection.answer_setup(b"UP %s-%d-%d" % (self.name.encode(), self.start_number, self.receipt_count))
+        self._send_load(connection, load)
+
+    def _send_load(self, connection: Connection, load: float) -> None:
+        if self.start_values["tells_load"]:
+            connection.send(b"LOAD %d" % round(load * 1e6))
+
+    def connection_ended(self, connection: Connection, by: str) -> None:
         now = time.monotonic()
-        if self.up.get(connection.name) is connection:
-            del self.up[connection.name]
-            self.machine.turn(now)
-            self.machine.drop(connection.name)
-        self.writer.write(Gone(now, self.name, connection.name, by))  # type: ignore[arg-type]
+        if self.open_tunnels.get(connection.tunnel_id) is connection:
+            del self.open_tunnels[connection.tunnel_id]
+            self.model.advance(now)
+            self.model.remove_tunnel(connection.tunnel_id)
+        self.writer.write(Gone(now, self.name, connection.tunnel_id, by))  # type: ignore[arg-type]
 
-    def _fall(self, now: float) -> None:
-        self.writer.write(Fell(now, self.name, len(self.machine.came), self.machine.budget(now)))
-        for connection in list(self.up.values()):
-            connection.end("server", reset=True)
+    def _reset_all_tunnels(self, now: float) -> None:
+        self.writer.write(Fell(now, self.name, len(self.model.recent_setups), self.model.setup_budget(now)))
+        for connection in list(self.open_tunnels.values()):
+            connection.close("server", reset=True)
 
     # By the clock.
 
-    def _turn(self) -> None:
-        self.machine.turn(time.monotonic())
-        heaviest = self.machine.heaviest()
-        if heaviest is not None and heaviest in self.up:
-            self.up[heaviest].end("server", reset=True)
-        self.loop.call_later(TURN, self._turn)
+    def _step_model(self) -> None:
+        self.model.advance(time.monotonic())
+        heaviest = self.model.tunnel_to_drop()
+        if heaviest is not None and heaviest in self.open_tunnels:
+            self.open_tunnels[heaviest].close("server", reset=True)
+        self.loop.call_later(MODEL_STEP_SECONDS, self._step_model)
 
-    def _look(self) -> None:
+    def _make_report(self) -> None:
         """Reports show what was so a little while ago."""
-        if not self.stuck:
-            noise = 1 + self.rng.uniform(-1, 1) * self.told["report_noise"]
-            load, now = self.machine.load() * noise, time.monotonic()
-            rate = sum(at > now - 2.0 for at in self.opened) / 2.0
+        if not self.reports_frozen:
+            noise = 1 + self.rng.uniform(-1, 1) * self.start_values["report_noise"]
+            load, now = self.model.load() * noise, time.monotonic()
+            rate = sum(at > now - 2.0 for at in self.recent_opens) / 2.0
             report = b"util=%.3f,qps=%.2f,x0=%.4f" % (min(1.0, load), rate, load)
-            self.looks.append((now + self.told["report_late"], report))
-        self.loop.call_later(self.told["report_every"], self._look)
+            self.report_history.append((now + self.start_values["report_late"], report))
+        self.loop.call_later(self.start_values["report_every"], self._make_report)
 
-    def report(self) -> bytes:
+    def latest_report(self) -> bytes:
         now = time.monotonic()
-        shown = [report for at, report in self.looks if at <= now]
+        shown = [report for at, report in self.report_history if at <= now]
         return shown[-1] if shown else b""
 
-    def _each_second(self) -> None:
-        now, machine = time.monotonic(), self.machine
-        for name in list(self.up):
-            if self.rng.random() < SWINGS:
-                self._tell_load(self.up[name], machine.swing(name, self.rng))
-        health, warmth = machine.health.value, machine.warmth()
-        self.writer.write(State(now, self.name, machine.load(), len(self.up), machine.piled, health, warmth))
-        self.loop.call_later(1.0, self._each_second)
+    def _record_state(self) -> None:
+        now, machine = time.monotonic(), self.model
+        for name in list(self.open_tunnels):
+            if self.rng.random() < LOAD_CHANGE_PROBABILITY:
+                self._send_load(self.open_tunnels[name], machine.vary_load(name, self.rng))
+        health, warmth = machine.health.value, machine.warm_share()
+        self.writer.write(
+            State(now, self.name, machine.load(), len(self.open_tunnels), machine.backlog, health, warmth)
+        )
+        self.loop.call_later(1.0, self._record_state)
 
-    def _drain(self) -> None:
+    def _drain_step(self) -> None:
         """Sends its clients away bit by bit until its time is up."""
-        if self.machine.health is not Health.DRAINING:
+        if self.model.health is not Health.DRAINING:
             return
-        left = max(1, int((self.drain_by - time.monotonic()) / DRAIN_STEP))
-        for name in list(self.up)[: ceil(len(self.up) / left)]:
-            connection = self.up[name]
-            connection.say(MOVE)
-            connection.end("server")
-        self.loop.call_later(DRAIN_STEP, self._drain)
-
-    def take(self, command: child.Told) -> None:
+        left = max(1, int((self.drain_deadline - time.monotonic()) / DRAIN_STEP_SECONDS))
+        for name in list(self.open_tunnels)[: ceil(len(self.open_tunnels) / left)]:
+            connection = self.open_tunnels[name]
+            connection.send(MOVE)
+            connection.close("server")
+        self.loop.call_later(DRAIN_STEP_SECONDS, self._drain_step)
+
+    def handle_command(self, command: child_process.Message) -> None:
         """A command of the rig."""
-        machine, what = self.machine, command["what"]
-        if machine.health is Health.FALLEN:
+        machine, what = self.model, command["what"]
+        if machine.health is Health.OVERLOADED:
             return
-        machine.turn(time.monotonic())
+        machine.advance(time.monotonic())
         match what:
             case "well":
-                machine.to(Health.WELL)
-                machine.slowed, machine.errors = 1.0, 0.0
-                self.stuck, self.reports = False, True
+                machine.change_health(Health.HEALTHY)
+                machine.capacity_share, machine.error_share = 1.0, 0.0
+                self.reports_frozen, self.sends_reports = False, True
             case "errors":
-                machine.to(Health.ERRORS)
-                machine.errors = float(command["size"])
+                machine.change_health(Health.ERRORS)
+                machine.error_share = float(command["size"])
             case "hang":
-                machine.to(Health.HANGING)
+                machine.change_health(Health.HANGING)
             case "full":
-                machine.to(Health.FULL)
+                machine.change_health(Health.FULL)
             case "slow":
-                machine.slowed = float(command["size"])
+                machine.capacity_share = float(command["size"])
             case "stuck":
-                self.stuck = True
+                self.reports_frozen = True
             case "absent":
-                self.reports = False
+                self.sends_reports = False
             case "drain":
-                machine.to(Health.DRAINING)
-                self.drain_by = time.monotonic() + float(command["seconds"])
-                self._drain()
+                machine.change_health(Health.DRAINING)
+                self.drain_deadline = time.monotonic() + float(command["seconds"])
+                self._drain_step()
             case _:
                 raise ValueError(f"unknown command {what!r}")
 
 
-async def part(told: child.Told, writer: Writer) -> child.Take:
+async def start(told: child_process.Message, writer: Writer) -> child_process.CommandHandler:
     server = Server(told, writer)
     await server.serve()
-    return server.take
+    return server.handle_command
 
 
 if __name__ == "__main__":
-    sys.exit(child.run(part))
+    sys.exit(child_process.run(start))
--- a/pointgw/testbed/start_up.py
+++ b/pointgw/testbed/start_up.py
@@ -6,16 +6,16 @@
 
 import msgspec
 
-from pointgw.testbed.demand import median_work
-from pointgw.testbed.layout import Address, shown
-from pointgw.testbed.machine import Make
-from pointgw.testbed.roster import Line, entry
+from pointgw.testbed.address_plan import Address, format_address
+from pointgw.testbed.demand import mean_tunnel_work
+from pointgw.testbed.registry import Line, endpoint_entry
 from pointgw.testbed.scenario import Scenario, settings
+from pointgw.testbed.server_model import Make
 
-DESCRIPTORS = 60_000  # that a balancer is told it may hold
+BALANCER_DESCRIPTOR_LIMIT = 60_000  # that a balancer is told it may hold
 
 
-def server(
+def server_start_values(
     scenario: Scenario, capacity: float, start: int, since: float, listen: list[Address]
 ) -> dict[str, Any]:
     """`start`: its starts so far; `since`: when, as discovery will tell; 0: long ago, so that it is warm."""
@@ -23,7 +23,7 @@
     make = Make(
         capacity, fleet.holds, fleet.group_cost, fleet.setup_work, fleet.message_work, fleet.cold_from,
         fleet.cold_seconds, fleet.tip_multiple, fleet.tip_seconds, fleet.thrash, fleet.drops_after,
-        median_work(scenario.demand),
+        mean_tunnel_work(scenario.demand),
     )  # fmt: skip
     return {
         "start": start, "since": since, "make": msgspec.to_builtins(make), "listen": listen,
@@ -32,7 +32,7 @@
     }  # fmt: skip
 
 
-def balancer(
+def balancer_start_file(
     scenario: Scenario,
     name: str,
     zone: int,
@@ -45,14 +45,18 @@
     peer_listen: Address | None = None,
 ) -> dict[str, Any]:
     """The start-up file's content; `lines` and `addresses`: the list as this balancer last had it."""
-    endpoints = [entry(line, addresses) for line in lines]
+    endpoints = [endpoint_entry(line, addresses) for line in lines]
     told: dict[str, Any] = {
-        "name": name, "listen": shown(listen), "discovery": shown(discovery), "seed": f"{seed:x}",
-        "limits": {"sockets": DESCRIPTORS},
+        "name": name, "listen": format_address(listen), "discovery": format_address(discovery),
+        "seed": f"{seed:x}",
+        "limits": {"sockets": BALANCER_DESCRIPTOR_LIMIT},
         "known": {"index": 0, "snapshot": True, "endpoints": endpoints},
         "settings": settings(scenario, zone),
     }  # fmt: skip
     if peers is not None and peer_listen is not None:
-        told |= {"peers": [shown(peer) for peer in peers], "peer_listen": shown(peer_listen)}
+        told |= {
+            "peers": [format_address(peer) for peer in peers],
+            "peer_listen": format_address(peer_listen),
+        }
         told["settings"]["me"] = int(name[1:])
     return told
--- a/tests/test_rig.py
+++ b/tests/test_testbed.py
@@ -20,61 +20,61 @@
 from pointgw.__main__ import main
 from pointgw.testbed import records as rec
 from pointgw.testbed import results
-from pointgw.testbed.demand import median_work, wishes
-from pointgw.testbed.front import Door, Seen, deal
-from pointgw.testbed.machine import Health, Held, Machine, Make
+from pointgw.testbed.demand import client_arrivals, mean_tunnel_work
+from pointgw.testbed.frontend import BalancerHealth, HealthState, pick_balancer
 from pointgw.testbed.play import Play, Void
 from pointgw.testbed.referee import judge
-from pointgw.testbed.roster import Line, Roster, Serving
+from pointgw.testbed.registry import AnswerMode, Line, Registry
 from pointgw.testbed.scenario import Demand, Fleet, Kind, Scenario, Trouble, library, read
+from pointgw.testbed.server_model import Health, Make, ServedTunnel, ServerModel
 from pointgw.testbed.timeline import moments
 
 MAKE = Make(1.0, 100, 0.1, 0.01, 0.001, 0.2, 10.0, 3.0, 2.0, 0.5, 3.0, 0.1)
 
 
-def machine(started: float = 0.0, now: float = 100.0, **changes: Any) -> Machine:
-    return Machine(replace(MAKE, **changes), started, now)
+def machine(started: float = 0.0, now: float = 100.0, **changes: Any) -> ServerModel:
+    return ServerModel(replace(MAKE, **changes), started, now)
 
 
 def test_load_counts_each_group_once_and_falls_when_tunnels_go() -> None:
     server = machine()
     for i in range(4):
-        server.take(Held(f"t{i}", "g" if i < 3 else "", 0.1, 0.0))
+        server.add_tunnel(ServedTunnel(f"t{i}", "g" if i < 3 else "", 0.1, 0.0))
     assert server.load() == pytest.approx(0.5)
     for i in range(4):
-        server.drop(f"t{i}")
-    server.drop("t0")
-    assert server.load() == 0.0 and not server.groups
+        server.remove_tunnel(f"t{i}")
+    server.remove_tunnel("t0")
+    assert server.load() == 0.0 and not server.group_sizes
 
 
 def test_work_over_capacity_piles_up_slows_answers_and_thrashes() -> None:
     server = machine()
-    well = server.wait()
-    server.take(Held("t", "", 2.0, 0.0))
-    server.turn(100.5)
-    assert server.piled == pytest.approx(0.5) and server.wait() > 0.5 > well
-    server.turn(102.0)
+    well = server.answer_delay()
+    server.add_tunnel(ServedTunnel("t", "", 2.0, 0.0))
+    server.advance(100.5)
+    assert server.backlog == pytest.approx(0.5) and server.answer_delay() > 0.5 > well
+    server.advance(102.0)
     assert server.capacity() == 0.5  # the thrash share is lost
-    server.turn(104.0)
-    assert server.heaviest() == "t"
+    server.advance(104.0)
+    assert server.tunnel_to_drop() == "t"
 
 
 def test_a_cold_server_warms_evenly_and_falls_when_pushed() -> None:
     server = machine(started=100.0)
-    assert server.warmth() == pytest.approx(0.2)
-    server.turn(105.0)
-    assert server.warmth() == pytest.approx(0.6)
-    server.turn(110.0)
-    assert server.warmth() == 1.0
+    assert server.warm_share() == pytest.approx(0.2)
+    server.advance(105.0)
+    assert server.warm_share() == pytest.approx(0.6)
+    server.advance(110.0)
+    assert server.warm_share() == 1.0
     cold = machine(started=100.0)
-    room = int(cold.budget(100.0))
+    room = int(cold.setup_budget(100.0))
     healths = []
     for _ in range(room + 1):
-        cold.setup(100.0)
+        cold.add_setup(100.0)
         healths.append(cold.health)
-    assert healths == [Health.WELL] * room + [Health.FALLEN]
+    assert healths == [Health.HEALTHY] * room + [Health.OVERLOADED]
     with pytest.raises(ValueError):
-        cold.to(Health.WELL)
+        cold.change_health(Health.HEALTHY)
 
 
 def line(name: str, status: str = "up") -> Line:
@@ -82,47 +82,49 @@
 
 
 def test_the_roster_tells_changes_whole_lists_and_starts_anew() -> None:
-    roster = Roster()
+    roster = Registry()
     there = {"s-0": "127.0.0.1:1", "s-1": "127.0.0.1:2"}
-    roster.change(line("s-0"))
-    roster.change(line("s-1"))
+    roster.apply(line("s-0"))
+    roster.apply(line("s-1"))
     whole = roster.answer(None, there)
     assert whole is not None and whole["snapshot"] and len(whole["endpoints"]) == 2
     assert roster.answer(roster.index, there) is None
-    roster.change(line("s-0", "draining"))
+    roster.apply(line("s-0", "draining"))
     news = roster.answer(roster.index - 1, there)
     assert news is not None and not news["snapshot"] and news["endpoints"][0]["status"] == "draining"
-    roster.serve(Serving.STALE)
-    assert not roster.change(line("s-1", "removed")) and "s-1" in roster.lines
-    assert [held.name for held in roster.serve(Serving.WELL)] == ["s-1"] and "s-1" not in roster.lines
+    roster.set_answer_mode(AnswerMode.STALE)
+    assert not roster.apply(line("s-1", "removed")) and "s-1" in roster.lines
+    assert [held.name for held in roster.set_answer_mode(AnswerMode.NORMAL)] == [
+        "s-1"
+    ] and "s-1" not in roster.lines
     before = roster.index
-    roster.restart_lower()
+    roster.reset_index()
     again = roster.answer(before, there)
     assert again is not None and again["snapshot"] and again["index"] == 1
 
 
 def test_the_front_notices_a_dead_balancer_late_and_deals_by_zone() -> None:
-    doors = [Door(0, 0), Door(1, 1)]
-    assert deal(doors, 0, Random(1)) is None
+    doors = [BalancerHealth(0, 0), BalancerHealth(1, 1)]
+    assert pick_balancer(doors, 0, Random(1)) is None
     for door in doors:
-        door.pinged(True, 1.0)
-    assert {deal(doors, 1, Random(i)) for i in range(20)} == {1}
-    doors[1].pinged(False, 2.0)
-    assert deal(doors, 1, Random(1)) == 1
-    doors[1].pinged(False, 4.1)
-    assert doors[1].seen is Seen.OUT and deal(doors, 1, Random(1)) == 0
+        door.record_ping(True, 1.0)
+    assert {pick_balancer(doors, 1, Random(i)) for i in range(20)} == {1}
+    doors[1].record_ping(False, 2.0)
+    assert pick_balancer(doors, 1, Random(1)) == 1
+    doors[1].record_ping(False, 4.1)
+    assert doors[1].state is HealthState.OUT and pick_balancer(doors, 1, Random(1)) == 0
 
 
 def test_demand_is_the_same_for_a_seed_and_doubles_in_a_burst() -> None:
     burst = Trouble(10.0, "burst", 10.0, size=2.0)
     scenario = Scenario("t", "t", seconds=30.0, demand=Demand(arrivals=50.0), trouble=(burst,))
-    found = list(wishes(scenario))
-    assert found == list(wishes(scenario))
-    assert found != list(wishes(msgspec.structs.replace(scenario, seed=2)))
+    found = list(client_arrivals(scenario))
+    assert found == list(client_arrivals(scenario))
+    assert found != list(client_arrivals(msgspec.structs.replace(scenario, seed=2)))
     before, during = (sum(a <= w.at < a + 10 for w in found) for a in (0.0, 10.0))
     assert 1.7 < during / before < 2.4 and [w.at for w in found] == sorted(w.at for w in found)
-    usual = sum(w.life * w.load for w in found) / len(found)
-    assert usual == pytest.approx(median_work(scenario.demand), rel=0.25)
+    usual = sum(w.lifetime * w.load for w in found) / len(found)
+    assert usual == pytest.approx(mean_tunnel_work(scenario.demand), rel=0.25)
 
 
 def test_troubles_hit_the_same_ones_for_a_seed() -> None:
