--- a/pointgw/testbed/__init__.py
+++ b/pointgw/testbed/__init__.py
@@ -1,6 +1,6 @@
-"""A fleet in a box: stand-in servers, discovery, front, clients, a timeline of troubles, a referee.
+"""A testbed: real balancers with stand-in servers, discovery and clients, faults, and an invariant checker.
 
-What decides has no I/O: `scenario`, `machine` (how a server fares), `roster` (what discovery knows), `front`,
-`demand` (who comes when), `referee`, `results`. What moves bytes: `server`, `discovery`, `clients`, `links`,
-`play`. Only loaded by the commands that need it.
+Modules without I/O: `scenario`, `server_model` (capacity of a server), `registry` (discovery's list),
+`frontend` (health checks of balancers), `demand` (client arrivals), `referee`, `results`. Modules with I/O:
+`server`, `discovery`, `clients`, `links`, `peers`, `play`. Loaded only by the commands that need it.
 """
--- a/pointgw/testbed/demand.py
+++ b/pointgw/testbed/demand.py
@@ -1,7 +1,7 @@
-"""Who comes when: an open loop, drawn ahead from one seed. No I/O, no clock.
+"""Client arrivals of a scenario: an open loop, drawn in advance from one seed. No I/O, no clock.
 
-Arrivals don't wait for answers, so a balancer that stalls is not flattered: a client's times count
-from when it was to come.
+Arrivals don't wait for answers, so a stalled balancer can't hide its delay: a client's times count
+from its scheduled arrival.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 from pointgw.testbed.scenario import Demand, Scenario
 
-STANDING_ARRIVAL_SECONDS = 3.0  # seconds in which those that stand from the start come
+STANDING_ARRIVAL_SECONDS = 3.0  # seconds in which the clients of `Demand.standing` arrive
 
 
 @dataclass(frozen=True, slots=True)
 class ClientArrival:
-    """One client: when it comes, how long it wants to stay, and what it asks of its server."""
+    """One client: when it arrives, how long its tunnel lasts, and the load that it puts on its server."""
 
     number: int
     at: float  # seconds from the scenario's start
-    lifetime: float
-    load: float
+    lifetime: float  # seconds
+    load: float  # work a second
     profile: int
     zone: int
     group: str
@@ -31,12 +31,12 @@
 
 
 def mean_tunnel_work(demand: Demand) -> float:
-    """Work that a tunnel asks in its life, by the means of the two lognormals."""
+    """Mean work that a tunnel asks for in its lifetime: the product of the means of two lognormals."""
     return demand.load * demand.life * exp((demand.load_sigma**2 + demand.life_sigma**2) / 2)
 
 
 def client_arrivals(scenario: Scenario) -> Iterator[ClientArrival]:
-    """All clients of a scenario, in order of arrival."""
+    """Yields all clients of a scenario in order of arrival."""
     demand = scenario.demand
     rng = Random(f"{scenario.seed}/demand")
     for number, at in enumerate(_arrival_times(scenario, rng)):
@@ -59,13 +59,13 @@
     at = 0.0
     bursts = [t for t in scenario.trouble if t.what == "burst"]
     while True:
-        # Thinning: drawn at the highest rate, kept by the rate that holds then.
-        top = demand.arrivals * max([1.0, *(t.size for t in bursts)])
-        at += rng.expovariate(top)
+        # Thinning: arrivals are drawn at the highest rate and kept with the ratio of the current rate to it.
+        max_rate = demand.arrivals * max([1.0, *(t.size for t in bursts)])
+        at += rng.expovariate(max_rate)
         if at >= scenario.seconds:
             break
-        times_now = max([1.0, *(t.size for t in bursts if t.at <= at < t.at + (t.seconds or 1e9))])
-        if rng.random() * top < demand.arrivals * times_now:
+        factor = max([1.0, *(t.size for t in bursts if t.at <= at < t.at + (t.seconds or 1e9))])
+        if rng.random() * max_rate < demand.arrivals * factor:
             times.append(at)
     if demand.burst_every:
         for i in range(1, int(scenario.seconds / demand.burst_every)):
@@ -73,7 +73,7 @@
     return sorted(times)
 
 
-def retry_delay(demand: Demand, tries: int, rng: Random) -> float:
-    """Seconds until a client comes again after so many tries."""
-    wait: float = min(demand.retry_last, demand.retry_first * 2**tries)
+def retry_delay(demand: Demand, try_count: int, rng: Random) -> float:
+    """Seconds until a client retries after `try_count` tries: exponential backoff with jitter."""
+    wait: float = min(demand.retry_last, demand.retry_first * 2**try_count)
     return wait * rng.uniform(0.5, 1.5)
--- a/pointgw/testbed/frontend.py
+++ b/pointgw/testbed/frontend.py
@@ -1,4 +1,4 @@
-"""The front: deals clients out among the balancers of their zone that it takes to be alive. No I/O."""
+"""The front end: spreads clients over the balancers of their zone that pass health checks. No I/O."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from enum import Enum
 from random import Random
 
-REMOVAL_DELAY_SECONDS = 2.0  # seconds until a dead balancer is taken out
+REMOVAL_DELAY_SECONDS = 2.0  # seconds of failed PINGs until a balancer is removed
 
 
 class HealthState(Enum):
-    """What the front holds of a balancer."""
+    """Health of a balancer as the front end sees it."""
 
-    OUT = "out"  # not answered PING yet, or taken out
+    OUT = "out"  # has not answered PING yet, or removed
     IN = "in"
-    SUSPECT = "doubted"  # a PING failed; clients still go there
+    SUSPECT = "suspect"  # a PING failed; still gets clients
 
 
 TRANSITIONS = {
@@ -26,21 +26,22 @@
 
 @dataclass(slots=True)
 class BalancerHealth:
-    """One balancer as the front sees it."""
+    """Health-check state of one balancer. Times in seconds of the caller's clock."""
 
     number: int
     zone: int
     state: HealthState = HealthState.OUT
     suspect_since: float = 0.0
 
-    def change_state(self, seen: HealthState) -> None:
-        if seen not in TRANSITIONS[self.state]:
-            raise ValueError(f"{self.state.value} cannot become {seen.value}")
-        self.state = seen
+    def change_state(self, state: HealthState) -> None:
+        """Moves to a state; raises ValueError for a transition that is not allowed."""
+        if state not in TRANSITIONS[self.state]:
+            raise ValueError(f"{self.state.value} cannot become {state.value}")
+        self.state = state
 
-    def record_ping(self, well: bool, now: float) -> None:
-        """The answer to a PING, or none in time."""
-        if well:
+    def record_ping(self, answered: bool, now: float) -> None:
+        """Records whether a PING was answered in time."""
+        if answered:
             if self.state is not HealthState.IN:
                 self.change_state(HealthState.IN)
         elif self.state is HealthState.IN:
@@ -50,8 +51,8 @@
             self.change_state(HealthState.OUT)
 
 
-def pick_balancer(doors: list[BalancerHealth], zone: int, rng: Random) -> int | None:
-    """The balancer for a client: one of its zone, else any; None while none is known."""
-    known = [door for door in doors if door.state is not HealthState.OUT]
-    near = [door for door in known if door.zone == zone] or known
-    return rng.choice(near).number if near else None
+def pick_balancer(balancers: list[BalancerHealth], zone: int, rng: Random) -> int | None:
+    """A random balancer for a client: of its zone if there is one, else any; None if all are out."""
+    usable = [balancer for balancer in balancers if balancer.state is not HealthState.OUT]
+    candidates = [balancer for balancer in usable if balancer.zone == zone] or usable
+    return rng.choice(candidates).number if candidates else None
--- a/pointgw/testbed/links.py
+++ b/pointgw/testbed/links.py
@@ -1,4 +1,4 @@
-"""The fault boxes of a rig as a process: one for each link that a scenario disturbs."""
+"""The testbed's process of fault proxies: one for each link that a scenario disturbs."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 from pointgw.testbed.records import Writer
 
 
-async def start(told: child_process.Message, writer: Writer) -> child_process.CommandHandler:
-    boxes: dict[str, FaultProxy] = {}
-    for name, listen, to in told["links"]:
-        box = FaultProxy(Script(), int(told["seed"]), tuple(to), tuple(listen))
-        await box.start()
-        boxes[name] = box
+async def start(start_values: child_process.Message, writer: Writer) -> child_process.CommandHandler:
+    """Starts the proxies; the handler takes commands that give some of them new rules."""
+    proxies: dict[str, FaultProxy] = {}
+    for name, listen, target in start_values["links"]:
+        proxy = FaultProxy(Script(), int(start_values["seed"]), tuple(target), tuple(listen))
+        await proxy.start()
+        proxies[name] = proxy
 
-    def take(command: child_process.Message) -> None:
+    def handle_command(command: child_process.Message) -> None:
         script = msgspec.convert({"rule": command["rule"]}, Script)
         for name in command["names"]:
-            boxes[name].replace_script(script)
+            proxies[name].replace_script(script)
 
-    return take
+    return handle_command
 
 
 if __name__ == "__main__":
--- a/pointgw/testbed/load_generator.py
+++ b/pointgw/testbed/load_generator.py
@@ -1,4 +1,4 @@
-"""An open-loop load on one address: tunnels at a rate, each timed from when it was to come."""
+"""An open-loop load generator for one address; each tunnel is timed from its scheduled arrival."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from pointgw.net.run.lingering_close import close_gracefully
 from pointgw.net.wire.lines import LINE_END
 
-LAST_ANSWER_SECONDS = 0.2  # seconds beyond the client timeout in which last answers come
+LAST_ANSWER_SECONDS = 0.2  # seconds after the client timeout in which the last answers arrive
 
 
 class Tunnel(asyncio.Protocol):
-    """One tunnel: its line, its answer, its end."""
+    """One tunnel: sends its OPEN line, records the answer, closes after its lifetime."""
 
     __slots__ = ("answered", "due", "generator", "number", "transport")
 
-    def __init__(self, load: LoadGenerator, number: int, due: float) -> None:
-        self.generator, self.number, self.due = load, number, due
+    def __init__(self, generator: LoadGenerator, number: int, due: float) -> None:
+        self.generator, self.number, self.due = generator, number, due
         self.answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        load = self.generator
-        line = f"OPEN {load.rng.getrandbits(64):016x} k{self.number:x} c={load.profile},t=all"
-        self.transport.write(f"{line},d={round(load.timeout * 1e3)}".encode() + LINE_END)
-        load.loop.call_later(load.timeout, self._time_out)
+        generator = self.generator
+        line = f"OPEN {generator.rng.getrandbits(64):016x} k{self.number:x} c={generator.profile},t=all"
+        self.transport.write(f"{line},d={round(generator.timeout * 1e3)}".encode() + LINE_END)
+        generator.loop.call_later(generator.timeout, self._time_out)
 
     def data_received(self, data: bytes) -> None:
         if not self.answered:
@@ -41,10 +41,10 @@
             else:
                 self.transport.close()
 
-    def _record_answer(self, how: str) -> None:
+    def _record_answer(self, outcome: str) -> None:
         self.answered = True
-        self.generator.answers[how] += 1
-        if how == "opened":
+        self.generator.answers[outcome] += 1
+        if outcome == "opened":
             self.generator.setup_times.record_value(max(1, round((time.monotonic() - self.due) * 1e6)))
 
     def _time_out(self) -> None:
@@ -58,44 +58,46 @@
 
 
 class LoadGenerator:
-    """`rate` new tunnels a second for `seconds`; all times in seconds."""
+    """Opens `rate` tunnels a second for `seconds`, each held open for its lifetime; all times in seconds."""
 
     def __init__(
         self,
-        to: tuple[str, int],
+        address: tuple[str, int],
         rate: float,
         seconds: float,
-        life: float,
+        lifetime: float,
         profile: str,
         timeout: float,
         seed: int,
     ) -> None:
-        self.address, self.rate, self.seconds, self.lifetime = to, rate, seconds, life
+        self.address, self.rate, self.seconds, self.lifetime = address, rate, seconds, lifetime
         self.profile, self.timeout, self.rng = profile, timeout, Random(seed)
         self.answers: Counter[str] = Counter()
         self.setup_times = HdrHistogram(1, 120_000_000, 3)
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> dict[str, float]:
-        """Figures by name; times in milliseconds."""
+        """Runs the load; returns its figures by name, times in milliseconds."""
         self.loop = asyncio.get_running_loop()
-        began, at, number = time.monotonic(), 0.0, 0
-        while at < self.seconds:
-            wait = began + at - time.monotonic()
+        began, offset, number = time.monotonic(), 0.0, 0
+        while offset < self.seconds:
+            wait = began + offset - time.monotonic()
             if wait > 0:
                 await asyncio.sleep(wait)
-            task = self.loop.create_task(self._open(number, began + at))
+            task = self.loop.create_task(self._open(number, began + offset))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
             number += 1
-            at += self.rng.expovariate(self.rate)
-        took = time.monotonic() - began
+            offset += self.rng.expovariate(self.rate)
+        elapsed = time.monotonic() - began
         await asyncio.sleep(self.timeout + LAST_ANSWER_SECONDS)
-        told: dict[str, float] = {"asked": number, "seconds": round(took, 3)}
-        told |= {how: self.answers[how] for how in ("opened", "declined", "failed", "none", "lost")}
+        figures: dict[str, float] = {"asked": number, "seconds": round(elapsed, 3)}
+        figures |= {
+            outcome: self.answers[outcome] for outcome in ("opened", "declined", "failed", "none", "lost")
+        }
         for quantile in (50.0, 99.0, 100.0):
-            told[f"p{quantile:g}_ms"] = self.setup_times.get_value_at_percentile(quantile) / 1e3
-        return told
+            figures[f"p{quantile:g}_ms"] = self.setup_times.get_value_at_percentile(quantile) / 1e3
+        return figures
 
     async def _open(self, number: int, due: float) -> None:
         try:
--- a/pointgw/testbed/process_reaper.py
+++ b/pointgw/testbed/process_reaper.py
@@ -1,6 +1,6 @@
-"""Ends what a rig has started once the rig itself is gone, however it went.
+"""Kills the processes of a testbed once the testbed itself has ended, even by SIGKILL.
 
-Lines on standard input: "+PID" and "-PID". At its end all that is left is killed.
+Standard input brings lines "+PID" (started) and "-PID" (ended). At end of file all processes left are killed.
 """
 
 from __future__ import annotations
@@ -12,12 +12,13 @@
 
 
 def main() -> int:
-    for name in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
-        signal.signal(name, signal.SIG_IGN)
-    kept: set[int] = set()
+    """Runs until end of file; ignores signals of the terminal, so that it outlives the testbed."""
+    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
+        signal.signal(signal_number, signal.SIG_IGN)
+    children: set[int] = set()
     for line in sys.stdin:
-        (kept.add if line[0] == "+" else kept.discard)(int(line[1:]))
-    for pid in sorted(kept):
+        (children.add if line[0] == "+" else children.discard)(int(line[1:]))
+    for pid in sorted(children):
         with suppress(ProcessLookupError):
             os.kill(pid, signal.SIGKILL)
     return 0
--- a/pointgw/testbed/registry.py
+++ b/pointgw/testbed/registry.py
@@ -1,4 +1,4 @@
-"""What the stand-in discovery knows: servers, versions, and what each watch must be told. No I/O."""
+"""The registry of the stand-in discovery: servers, index, and the answer to each watch. No I/O."""
 
 from __future__ import annotations
 
@@ -6,44 +6,46 @@
 from enum import Enum
 from typing import Any
 
-KEPT_CHANGES = 200  # changes after which an old version is answered with the whole list
+KEPT_CHANGES = 200  # changes kept; a watch from an older index gets the whole list
 
 
 class AnswerMode(Enum):
     """How discovery answers."""
 
     NORMAL = "well"
-    SILENT = "silent"  # takes calls and says nothing
-    BUSY = "503"
-    RESET = "reset"
+    SILENT = "silent"  # accepts requests and never answers
+    BUSY = "503"  # HTTP status 503
+    RESET = "reset"  # resets connections
     LATE = "late"  # answers after some seconds
-    STALE = "stale"  # answers, and holds changes back
+    STALE = "stale"  # answers, but withholds changes
 
 
 @dataclass(slots=True)
 class Line:
-    """A server's line, without the address, which each balancer is told its own of."""
+    """A server's entry, without the address, which differs for each balancer."""
 
     name: str
     zone: str
     kind: str
     cell: int
     status: str
-    since_ms: int
+    since_ms: int  # start time, Unix milliseconds; 0: long ago
 
 
 @dataclass(slots=True)
 class Registry:
+    """The servers that discovery lists, with an index that each change raises."""
+
     index: int = 1
     lines: dict[str, Line] = field(default_factory=dict)
     changes: list[tuple[int, Line]] = field(default_factory=list)
     answer_mode: AnswerMode = AnswerMode.NORMAL
-    held_back: list[Line] = field(default_factory=list)  # changes while stale
+    withheld: list[Line] = field(default_factory=list)  # changes withheld while answers are stale
 
     def apply(self, line: Line) -> bool:
-        """Takes a change; False where it is held back."""
+        """Applies a change; False if it is withheld."""
         if self.answer_mode is AnswerMode.STALE:
-            self.held_back.append(line)
+            self.withheld.append(line)
             return False
         self.index += 1
         if line.status == "removed":
@@ -53,20 +55,22 @@
         self.changes = [*self.changes, (self.index, line)][-KEPT_CHANGES:]
         return True
 
-    def set_answer_mode(self, serving: AnswerMode) -> list[Line]:
-        """Turns to another way of answering; gives what was held back and is told now."""
-        self.answer_mode = serving
-        told, self.held_back = ([], self.held_back) if serving is AnswerMode.STALE else (self.held_back, [])
-        for line in told:
+    def set_answer_mode(self, answer_mode: AnswerMode) -> list[Line]:
+        """Changes the answer mode; returns the withheld changes, which are applied now."""
+        self.answer_mode = answer_mode
+        released, self.withheld = (
+            ([], self.withheld) if answer_mode is AnswerMode.STALE else (self.withheld, [])
+        )
+        for line in released:
             self.apply(line)
-        return told
+        return released
 
     def reset_index(self) -> None:
-        """A discovery that lost its memory counts its versions anew."""
+        """Restarts the index at 1, as a discovery that lost its state does."""
         self.index, self.changes = 1, []
 
     def answer(self, after: int | None, addresses: dict[str, str]) -> dict[str, Any] | None:
-        """The whole list, or what came after a version; None where a watch has nothing to tell yet."""
+        """The whole list, or the changes after index `after`; None if there are no changes yet."""
         oldest = self.changes[0][0] if self.changes else self.index + 1
         if after is None or after > self.index or (after < self.index and after + 1 < oldest):
             return self._answer_body(True, list(self.lines.values()), addresses)
@@ -76,18 +80,19 @@
         return self._answer_body(False, list(latest.values()), addresses)
 
     def unchanged_answer(self) -> dict[str, Any]:
+        """The answer to a watch whose hold time ends without a change."""
         return {"index": self.index, "snapshot": False, "endpoints": []}
 
     def _answer_body(self, whole: bool, lines: list[Line], addresses: dict[str, str]) -> dict[str, Any]:
         return {
             "index": self.index,
             "snapshot": whole,
-            "endpoints": [endpoint_entry(x, addresses) for x in lines],
+            "endpoints": [endpoint_entry(line, addresses) for line in lines],
         }
 
 
 def endpoint_entry(line: Line, addresses: dict[str, str]) -> dict[str, Any]:
-    """A server's line as discovery writes it."""
+    """A server's entry as discovery writes it."""
     return {
         "name": line.name, "address": addresses[line.name], "zone": line.zone, "type": line.kind,
         "group": line.cell, "status": line.status, "weight": 1.0, "since_ms": line.since_ms,
--- a/pointgw/testbed/start_up.py
+++ b/pointgw/testbed/start_up.py
@@ -1,4 +1,4 @@
-"""What servers and balancers of a rig are told at their start. No I/O."""
+"""Start values of the testbed's servers and start-up files of its balancers. No I/O."""
 
 from __future__ import annotations
 
@@ -12,13 +12,16 @@
 from pointgw.testbed.scenario import Scenario, settings
 from pointgw.testbed.server_model import Make
 
-BALANCER_DESCRIPTOR_LIMIT = 60_000  # that a balancer is told it may hold
+BALANCER_DESCRIPTOR_LIMIT = 60_000  # file descriptors that a balancer is configured for
 
 
 def server_start_values(
     scenario: Scenario, capacity: float, start: int, since: float, listen: list[Address]
 ) -> dict[str, Any]:
-    """`start`: its starts so far; `since`: when, as discovery will tell; 0: long ago, so that it is warm."""
+    """Start values of a server process.
+
+    `start`: number of this start. `since`: start time that discovery reports; 0: long ago, so it is warm.
+    """
     fleet = scenario.fleet
     make = Make(
         capacity, fleet.holds, fleet.group_cost, fleet.setup_work, fleet.message_work, fleet.cold_from,
@@ -44,9 +47,9 @@
     peers: list[Address] | None = None,
     peer_listen: Address | None = None,
 ) -> dict[str, Any]:
-    """The start-up file's content; `lines` and `addresses`: the list as this balancer last had it."""
+    """Content of a balancer's start-up file; `lines` and `addresses`: the list that it last knew."""
     endpoints = [endpoint_entry(line, addresses) for line in lines]
-    told: dict[str, Any] = {
+    start_file: dict[str, Any] = {
         "name": name, "listen": format_address(listen), "discovery": format_address(discovery),
         "seed": f"{seed:x}",
         "limits": {"sockets": BALANCER_DESCRIPTOR_LIMIT},
@@ -54,9 +57,9 @@
         "settings": settings(scenario, zone),
     }  # fmt: skip
     if peers is not None and peer_listen is not None:
-        told |= {
+        start_file |= {
             "peers": [format_address(peer) for peer in peers],
             "peer_listen": format_address(peer_listen),
         }
-        told["settings"]["me"] = int(name[1:])
-    return told
+        start_file["settings"]["me"] = int(name[1:])
+    return start_file
