--- a/pointgw/testbed/address_plan.py
+++ b/pointgw/testbed/address_plan.py
@@ -8,8 +8,12 @@
 
 from dataclasses import dataclass
 
-SERVER_PORT, BALANCER_PORT, DISCOVERY_PORT, PEER_PORT = 9000, 8443, 8500, 7946
-FIRST_OCTET, OCTET_COUNT = 64, 128  # range of the second octets of runs
+SERVER_PORT = 9000
+BALANCER_PORT = 8443
+DISCOVERY_PORT = 8500
+PEER_PORT = 7946
+FIRST_OCTET = 64  # lowest second octet of a run
+OCTET_COUNT = 128  # number of second octets that runs use
 
 Address = tuple[str, int]  # host and port
 
