--- a/pointgw/testbed/clients.py
+++ b/pointgw/testbed/clients.py
@@ -23,7 +23,8 @@
 from pointgw.testbed.records import Answered, Asked, Ended, Further, Second, Writer
 from pointgw.testbed.scenario import Scenario
 
-PING_INTERVAL_SECONDS, PING_TIMEOUT_SECONDS = 0.4, 0.5  # seconds
+PING_INTERVAL_SECONDS = 0.4  # seconds between two PINGs of the front end to a balancer
+PING_TIMEOUT_SECONDS = 0.5  # seconds until a PING counts as failed
 SERVICE_CHECK_SECONDS = 0.25  # seconds between two looks at who is served well
 REJOIN_DELAY_SECONDS = (0.07, 0.6)  # seconds until one whose tunnel broke or was moved comes again
 SLOW_READER_LINES = 200  # lines that a slow reader asks for in a second
