--- a/pointgw/testbed/peers.py
+++ b/pointgw/testbed/peers.py
@@ -1,4 +1,4 @@
-"""The ways between balancers as a process: a box for each pair and direction that loses, delays or cuts."""
+"""Process of UDP fault proxies between balancers, one for each pair and direction."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from pointgw.testbed import child_process
 from pointgw.testbed.records import Talk, Writer
 
-KEPT_DATAGRAMS = 400  # datagrams of each way that may be played again
+KEPT_DATAGRAMS = 400  # latest datagrams of each link, kept for replay
 
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
 class Impairment:
-    """What befalls a datagram."""
+    """Faults of a link: probabilities of loss and duplication, delay, cut."""
 
     loss: float = 0.0
-    delay: float = 0.0  # seconds, up to, by chance
+    delay: float = 0.0  # seconds at most, uniformly distributed
     duplicate: float = 0.0
     cut: bool = False
 
 
 class PeerLink(asyncio.DatagramProtocol):
-    """From one balancer to another."""
+    """The proxy from one balancer to another; applies the link's faults to each datagram."""
 
-    def __init__(self, here: PeerLinks, sender: int, to: Address) -> None:
-        self.peers, self.sender, self.to = here, sender, to
+    def __init__(self, peers: PeerLinks, sender: int, target: Address) -> None:
+        self.peers, self.sender, self.target = peers, sender, target
         self.impairment = Impairment()
         self.recent: deque[bytes] = deque(maxlen=KEPT_DATAGRAMS)
         self.transport: asyncio.DatagramTransport | None = None
@@ -42,39 +42,47 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        here, rule = self.peers, self.impairment
-        here.datagram_counts[self.sender] = here.datagram_counts.get(self.sender, 0) + 1
-        here.byte_counts[self.sender] = here.byte_counts.get(self.sender, 0) + len(data)
+        peers, impairment = self.peers, self.impairment
+        peers.datagram_counts[self.sender] = peers.datagram_counts.get(self.sender, 0) + 1
+        peers.byte_counts[self.sender] = peers.byte_counts.get(self.sender, 0) + len(data)
         self.recent.append(data)
-        if rule.cut or here.rng.random() < rule.loss:
+        if impairment.cut or peers.rng.random() < impairment.loss:
             return
-        for _ in range(1 + (here.rng.random() < rule.duplicate)):
-            if rule.delay:
-                here.loop.call_later(here.rng.uniform(0.0, rule.delay), self.send, data)
+        for _ in range(1 + (peers.rng.random() < impairment.duplicate)):
+            if impairment.delay:
+                peers.loop.call_later(peers.rng.uniform(0.0, impairment.delay), self.send, data)
             else:
                 self.send(data)
 
     def send(self, data: bytes) -> None:
+        """Forwards a datagram; ignored once the socket is closed."""
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.sendto(data, self.to)
+            self.transport.sendto(data, self.target)
 
 
-def _existing_protocol(way: PeerLink) -> PeerLink:
-    return way
+def _existing_protocol(link: PeerLink) -> PeerLink:
+    return link
 
 
 class PeerLinks:
-    def __init__(self, told: child_process.Message, writer: Writer) -> None:
-        self.rng, self.loop, self.writer = Random(f"{told['seed']}/peers"), asyncio.get_running_loop(), writer
+    """All links, and the count of datagrams and bytes that each balancer sent in the present second."""
+
+    def __init__(self, start_values: child_process.Message, writer: Writer) -> None:
+        self.rng, self.loop, self.writer = (
+            Random(f"{start_values['seed']}/peers"),
+            asyncio.get_running_loop(),
+            writer,
+        )
         self.datagram_counts: dict[int, int] = {}
         self.byte_counts: dict[int, int] = {}
         self.links: dict[tuple[int, int], PeerLink] = {}
 
     async def open(self, ways: list[tuple[int, int, Address, Address]]) -> None:
-        for sender, to, (host, port), (other, at) in ways:
-            way = self.links[sender, to] = PeerLink(self, sender, (other, at))
+        """Opens the links; each is (sender, receiver, listen address, receiver's address)."""
+        for sender, receiver, (host, port), (target_host, target_port) in ways:
+            link = self.links[sender, receiver] = PeerLink(self, sender, (target_host, target_port))
             await self.loop.create_datagram_endpoint(
-                partial(_existing_protocol, way), local_addr=(host, port)
+                partial(_existing_protocol, link), local_addr=(host, port)
             )
         self.loop.call_later(1.0, self._record_traffic)
 
@@ -87,27 +95,28 @@
         self.loop.call_later(1.0, self._record_traffic)
 
     def handle_command(self, command: child_process.Message) -> None:
-        """A command of the rig: another rule for some ways, or what was said before once more."""
+        """A command of the run: other faults for some links, or a replay of recent datagrams."""
         which = set(command["which"])
-        for (sender, to), way in self.links.items():
+        for (sender, receiver), link in self.links.items():
             match command["what"]:
-                case "peers-split" if (sender in which) is not (to in which):
-                    way.impairment = Impairment(cut=command["on"])
+                case "peers-split" if (sender in which) is not (receiver in which):
+                    link.impairment = Impairment(cut=command["on"])
                 case "peers-one-way" if sender in which:
-                    way.impairment = Impairment(cut=command["on"])
+                    link.impairment = Impairment(cut=command["on"])
                 case "peers-lossy":
-                    rule = Impairment(command["size"], command["late"], 0.2)
-                    way.impairment = rule if command["on"] else Impairment()
+                    impairment = Impairment(command["size"], command["late"], 0.2)
+                    link.impairment = impairment if command["on"] else Impairment()
                 case "peers-again" if command["on"]:
-                    for data in list(way.recent):
-                        way.send(data)
+                    for data in list(link.recent):
+                        link.send(data)
                 case _:
                     pass
 
 
-async def start(told: child_process.Message, writer: Writer) -> child_process.CommandHandler:
-    peers = PeerLinks(told, writer)
-    await peers.open(told["ways"])
+async def start(start_values: child_process.Message, writer: Writer) -> child_process.CommandHandler:
+    """Opens all links; the handler takes the run's commands."""
+    peers = PeerLinks(start_values, writer)
+    await peers.open(start_values["ways"])
     return peers.handle_command
 
 
