--- a/pointgw/testbed/clients.py
+++ b/pointgw/testbed/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a rig as a process, with the front that deals them out."""
+"""The process of the testbed's clients, with the front end that assigns them to balancers."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 PING_INTERVAL_SECONDS = 0.4  # seconds between two PINGs of the front end to a balancer
 PING_TIMEOUT_SECONDS = 0.5  # seconds until a PING counts as failed
-SERVICE_CHECK_SECONDS = 0.25  # seconds between two looks at who is served well
-REJOIN_DELAY_SECONDS = (0.07, 0.6)  # seconds until one whose tunnel broke or was moved comes again
-SLOW_READER_LINES = 200  # lines that a slow reader asks for in a second
+SERVICE_CHECK_SECONDS = 0.25  # seconds between two counts of the credit served
+REJOIN_DELAY_SECONDS = (0.07, 0.6)  # range of seconds until a client whose tunnel ended or was moved retries
+SLOW_READER_LINES = 200  # lines to be echoed that a slow reader sends at each read
 SLOW_READ_SECONDS = 0.5  # seconds between two reads of a slow reader
-ANSWER_SLACK_SECONDS = 0.05  # seconds that an answer may be late
-AFTER_ANSWER_SECONDS = 0.3  # seconds that what comes after the last answer is watched
+ANSWER_SLACK_SECONDS = 0.05  # seconds beyond its timeout that a client waits for an answer
+AFTER_ANSWER_SECONDS = 0.3  # seconds after the last answer in which further lines are recorded
 
 
 class ClientState(Enum):
-    """Where a client stands."""
+    """State of a client."""
 
-    WAITING = "away"  # comes, or comes again, by the clock
-    SETTING_UP = "asking"
+    WAITING = "waiting"  # until its first or next try
+    SETTING_UP = "setting up"
     OPEN = "open"
     DONE = "done"
 
@@ -51,7 +51,7 @@
 
 
 class Client:
-    """One who wants a tunnel for a time."""
+    """A client that keeps a tunnel open for its lifetime, with retries; each try is a `ClientConnection`."""
 
     __slots__ = (
         "answer_delay",
@@ -65,26 +65,27 @@
         "tries",
     )
 
-    def __init__(self, here: Clients, wish: ClientArrival) -> None:
-        self.clients, self.arrival = here, wish
+    def __init__(self, clients: Clients, arrival: ClientArrival) -> None:
+        self.clients, self.arrival = clients, arrival
         self.state = ClientState.WAITING
         self.tries, self.opened = 0, 0
         self.returning = False
-        self.due_at = 0.0  # when this try was to come
-        self.answer_delay = 0.0  # of the latest answered line
+        self.due_at = 0.0  # scheduled time of this try
+        self.answer_delay = 0.0  # seconds, of the latest echoed line
         self.connection: ClientConnection | None = None
 
-    def change_state(self, mood: ClientState) -> None:
-        """The one place where a client changes state."""
-        if mood not in TRANSITIONS[self.state]:
-            raise ValueError(f"client {self.arrival.number}: {self.state.value} cannot become {mood.value}")
-        self.state = mood
+    def change_state(self, state: ClientState) -> None:
+        """Moves to a state; raises ValueError for a transition that is not allowed."""
+        if state not in TRANSITIONS[self.state]:
+            raise ValueError(f"client {self.arrival.number}: {self.state.value} cannot become {state.value}")
+        self.state = state
 
     def leaves_at(self) -> float:
+        """When the client's lifetime ends, on the monotonic clock."""
         return self.clients.began_at + self.arrival.at + self.arrival.lifetime
 
     def request_tunnel(self) -> None:
-        """It is time to ask, or to ask again."""
+        """Starts a try, or ends the client if its lifetime is over."""
         now = time.monotonic()
         if self.state is not ClientState.WAITING or self.clients.ended:
             return
@@ -92,15 +93,15 @@
             self.change_state(ClientState.DONE)
             self.clients.remove(self)
             return
-        number = pick_balancer(self.clients.balancer_healths, self.arrival.zone, self.clients.rng)
+        balancer = pick_balancer(self.clients.balancer_healths, self.arrival.zone, self.clients.rng)
         self.change_state(ClientState.SETTING_UP)
-        if number is None:
+        if balancer is None:
             self.retry_after(retry_delay(self.clients.demand, self.tries, self.clients.rng))
         else:
-            self.connection = ClientConnection(self, number)
+            self.connection = ClientConnection(self, balancer)
 
     def retry_after(self, wait: float) -> None:
-        """Comes again later; one that was turned away too often stays away."""
+        """Schedules the next try; after `Demand.tries` of them in a row, with a longer wait."""
         self.change_state(ClientState.WAITING)
         self.connection = None
         self.tries += 1
@@ -110,21 +111,21 @@
         self.clients.call_at(self.due_at, self.request_tunnel)
 
     def rejoin(self) -> None:
-        """Its tunnel is gone before its time."""
+        """Schedules a try as a returning client, after its tunnel ended early."""
         self.returning, self.tries = True, -1
         self.retry_after(self.clients.rng.uniform(*REJOIN_DELAY_SECONDS))
 
     def is_served(self, now: float) -> bool:
-        """Its lines are answered within the setup goal."""
+        """Whether its tunnel is open and its lines are answered within the setup goal."""
         if self.state is not ClientState.OPEN or self.connection is None:
             return False
         goal = self.clients.scenario.profile[self.arrival.profile].setup_goal
-        asked = self.connection.line_sent_at
-        return self.answer_delay <= goal and (asked is None or now - asked <= goal)
+        line_sent_at = self.connection.line_sent_at
+        return self.answer_delay <= goal and (line_sent_at is None or now - line_sent_at <= goal)
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection, from its first line to its end."""
+    """One try of a client: its connection, from the OPEN line to the end of the tunnel."""
 
     __slots__ = (
         "answered",
@@ -138,57 +139,58 @@
         "tunnel_id",
     )
 
-    def __init__(self, client: Client, number: int) -> None:
-        self.client, self.balancer = client, number
-        here = client.clients
-        here.tunnel_count += 1
-        self.tunnel_id = f"{here.seed & 0xFFFF:04x}{here.tunnel_count:012x}"
+    def __init__(self, client: Client, balancer: int) -> None:
+        self.client, self.balancer = client, balancer
+        clients = client.clients
+        clients.tunnel_count += 1
+        self.tunnel_id = f"{clients.seed & 0xFFFF:04x}{clients.tunnel_count:012x}"
         self.buffer = bytearray()
         self.answered = False
-        self.line_sent_at: float | None = None  # when the line went out that has brought nothing back yet
-        self.line_number = 0  # of that line
+        self.line_sent_at: float | None = None  # when the line was sent that is not answered yet
+        self.line_number = 0  # number of the latest line sent
         self.transport: asyncio.Transport | None = None
         self.sent = False
-        here.spawn(self._connect())
+        clients.spawn(self._connect())
 
     async def _connect(self) -> None:
-        here = self.client.clients
+        clients = self.client.clients
         try:
             async with asyncio.timeout(1.0):
-                await here.loop.create_connection(lambda: self, *here.balancers[self.balancer])
+                await clients.loop.create_connection(lambda: self, *clients.balancers[self.balancer])
         except (OSError, TimeoutError):
             if self.client.connection is self and self.client.state is ClientState.SETTING_UP:
-                self.client.retry_after(retry_delay(here.demand, max(0, self.client.tries), here.rng))
+                self.client.retry_after(retry_delay(clients.demand, max(0, self.client.tries), clients.rng))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        client, here = self.client, self.client.clients
+        client, clients = self.client, self.client.clients
         self.transport = cast(asyncio.Transport, transport)
         if client.connection is not self:
             self.transport.abort()
             return
-        wish = client.arrival
-        profile = here.scenario.profile[wish.profile]
-        patience = profile.client_timeout
-        group = f",g={wish.group}" if wish.group else ""
+        arrival = client.arrival
+        profile = clients.scenario.profile[arrival.profile]
+        answer_timeout = profile.client_timeout
+        group = f",g={arrival.group}" if arrival.group else ""
         line = (
-            f"OPEN {self.tunnel_id} k{wish.number:x} c={profile.name},t=all,d={round(patience * 1e3)}{group}"
-            f",w={round(wish.load * 1e6)},s={here.demand.swing:g}{',again=1' if client.returning else ''}"
+            f"OPEN {self.tunnel_id} k{arrival.number:x} c={profile.name},t=all"
+            f",d={round(answer_timeout * 1e3)}{group},w={round(arrival.load * 1e6)},s={clients.demand.swing:g}"
+            f"{',again=1' if client.returning else ''}"
         )
         self.transport.write(line.encode() + LINE_END)
         self.sent = True
         now = time.monotonic()
-        here.writer.write(
+        clients.writer.write(
             Asked(
-                now, self.tunnel_id, wish.number, client.due_at, self.balancer, wish.profile, patience,
-                max(0, client.tries), client.returning,
+                now, self.tunnel_id, arrival.number, client.due_at, self.balancer, arrival.profile,
+                answer_timeout, max(0, client.tries), client.returning,
             )
         )  # fmt: skip
-        here.loop.call_later(patience + ANSWER_SLACK_SECONDS, self._time_out)
-        if wish.slow_reader:
+        clients.loop.call_later(answer_timeout + ANSWER_SLACK_SECONDS, self._time_out)
+        if arrival.slow_reader:
             self._read_slowly()
 
     def _read_slowly(self) -> None:
-        """A slow reader takes a little now and then, and asks for much."""
+        """Resumes reading for a moment and sends many lines, so that answers accumulate at the balancer."""
         if self.transport is None or self.transport.is_closing() or self.client.connection is not self:
             return
         tcp.resume_reading(self.transport)
@@ -231,7 +233,7 @@
                 self._record_further(line)
         elif line == b"MOVE" or line.startswith(b"BYE"):
             self._record_end("moved" if line == b"MOVE" else "bye")
-            self._close(politely=True)
+            self._close(graceful=True)
             client.rejoin()
         elif line.startswith(b"m"):
             if self.line_sent_at is not None and line == b"m%d" % self.line_number:
@@ -248,11 +250,11 @@
         self.client.clients.writer.write(Further(time.monotonic(), self.tunnel_id, shown))
 
     def _begin_tunnel(self) -> None:
-        client, here = self.client, self.client.clients
+        client, clients = self.client, self.client.clients
         client.change_state(ClientState.OPEN)
         client.tries, client.returning, client.answer_delay = 0, False, 0.0
-        here.loop.call_later(here.rng.uniform(0.0, here.demand.message_every), self._send_line)
-        here.call_at(client.leaves_at(), self._leave)
+        clients.loop.call_later(clients.rng.uniform(0.0, clients.demand.message_every), self._send_line)
+        clients.call_at(client.leaves_at(), self._leave)
 
     def _send_line(self) -> None:
         if (
@@ -264,19 +266,19 @@
                 self.line_number += 1
                 self.line_sent_at = time.monotonic()
                 self.transport.write(b"m%d" % self.line_number + LINE_END)
-            here = self.client.clients
-            here.loop.call_later(here.demand.message_every, self._send_line)
+            clients = self.client.clients
+            clients.loop.call_later(clients.demand.message_every, self._send_line)
 
     def _leave(self) -> None:
-        """It has had what it came for."""
+        """Ends the tunnel at the end of the client's lifetime."""
         if self.client.connection is self and self.client.state is ClientState.OPEN:
             self._record_end("own")
-            self._close(politely=True)
+            self._close(graceful=True)
             self.client.change_state(ClientState.DONE)
             self.client.clients.remove(self.client)
 
     def fail_network(self) -> None:
-        """Its network fails: a reset, and it comes again."""
+        """Simulates a failed network: resets the connection; the client retries."""
         if self.client.state is ClientState.OPEN:
             self._record_end("own")
             if self.transport is not None:
@@ -287,18 +289,18 @@
         self.client.clients.writer.write(Ended(time.monotonic(), self.tunnel_id, how))
 
     def _retry(self, line: bytes = b"") -> None:
-        """Turned away or failed: it comes again, later each time."""
-        here, client = self.client.clients, self.client
-        told = line.split(b" ")[1:]
-        wait = retry_delay(here.demand, max(0, client.tries), here.rng)
-        if told and told[0].isdigit():
-            wait = max(wait, int(told[0]) / 1e3)
+        """Retries with backoff, and not before the time that a BUSY line asks for."""
+        clients, client = self.client.clients, self.client
+        parameters = line.split(b" ")[1:]
+        wait = retry_delay(clients.demand, max(0, client.tries), clients.rng)
+        if parameters and parameters[0].isdigit():
+            wait = max(wait, int(parameters[0]) / 1e3)
         client.retry_after(wait)
 
-    def _close(self, politely: bool = False) -> None:
+    def _close(self, graceful: bool = False) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        if politely:
+        if graceful:
             close_gracefully(self.transport)
         else:
             self.transport.abort()
@@ -311,7 +313,7 @@
         self._connection_ended()
 
     def _connection_ended(self) -> None:
-        """The balancer has ended it, with or without an answer."""
+        """Handles the end of the connection by the balancer, before or after the answer."""
         client = self.client
         if client.connection is not self:
             return
@@ -324,77 +326,82 @@
 
 
 class Clients:
-    """All clients, and the front."""
+    """All clients, and the front end's health checks."""
 
-    def __init__(self, told: child_process.Message, writer: Writer) -> None:
+    def __init__(self, start_values: child_process.Message, writer: Writer) -> None:
         self.writer, self.loop = writer, asyncio.get_running_loop()
-        self.scenario = msgspec.convert(told["scenario"], Scenario)
+        self.scenario = msgspec.convert(start_values["scenario"], Scenario)
         self.demand = self.scenario.demand
         self.seed = self.scenario.seed
         self.rng = Random(f"{self.seed}/clients")
-        self.balancers: list[tuple[str, int]] = [tuple(address) for address in told["balancers"]]
-        self.balancer_healths = [BalancerHealth(i, zone) for i, zone in enumerate(told["zones"])]
-        self.ping_addresses: list[tuple[str, int]] = [tuple(address) for address in told["pings"]]
+        self.balancers: list[tuple[str, int]] = [tuple(address) for address in start_values["balancers"]]
+        self.balancer_healths = [BalancerHealth(i, zone) for i, zone in enumerate(start_values["zones"])]
+        self.ping_addresses: list[tuple[str, int]] = [tuple(address) for address in start_values["pings"]]
         self.tunnel_count = 0
         self.began_at = 0.0
         self.ended = self.front_ready = False
-        self.present: dict[Client, None] = {}  # those that have come and not left
+        self.present: dict[Client, None] = {}  # clients that have arrived and not left
         self.tasks: set[asyncio.Task[None]] = set()
         self.credit_asked = [0.0] * len(self.scenario.profile)
         self.credit_served = [0.0] * len(self.scenario.profile)
-        for door in self.balancer_healths:
-            self.spawn(self._ping(door))
+        for balancer in self.balancer_healths:
+            self.spawn(self._ping(balancer))
 
-    def spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = self.loop.create_task(work)
+    def spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        """Runs a coroutine as a task, which is kept referenced until it ends."""
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def call_at(self, when: float, call: Callable[[], None]) -> None:
-        """By the machine's clock, which the loop's follows."""
+        """Calls at a time of the monotonic clock."""
         self.loop.call_later(max(0.0, when - time.monotonic()), call)
 
     def remove(self, client: Client) -> None:
+        """Removes a client that has left."""
         self.present.pop(client, None)
 
-    async def _ping(self, door: BalancerHealth) -> None:
-        """The front asks each balancer whether it is there."""
+    async def _ping(self, balancer: BalancerHealth) -> None:
+        """Health check of one balancer by PING; prints "all in" once all have answered."""
         while not self.ended:
-            well = False
+            answered = False
             try:
                 async with asyncio.timeout(PING_TIMEOUT_SECONDS):
-                    reader, writer = await asyncio.open_connection(*self.ping_addresses[door.number])
+                    reader, writer = await asyncio.open_connection(*self.ping_addresses[balancer.number])
                     writer.write(b"PING" + LINE_END)
-                    well = await reader.readline() == b"PONG" + LINE_END
+                    answered = await reader.readline() == b"PONG" + LINE_END
                     writer.close()
             except (OSError, TimeoutError):
                 pass
-            door.record_ping(well, time.monotonic())
-            if not self.front_ready and all(door.state is HealthState.IN for door in self.balancer_healths):
+            balancer.record_ping(answered, time.monotonic())
+            if not self.front_ready and all(
+                balancer.state is HealthState.IN for balancer in self.balancer_healths
+            ):
                 self.front_ready = True
                 print("all in", flush=True)
             await asyncio.sleep(PING_INTERVAL_SECONDS)
 
     def begin(self, at: float) -> None:
+        """Starts the scenario's arrivals at a time of the monotonic clock."""
         self.began_at = at
         self._schedule_arrivals(client_arrivals(self.scenario))
         self.call_at(at, self._count_credit)
         self.call_at(at + 1.0, self._record_second)
 
-    def _schedule_arrivals(self, coming: Iterator[ClientArrival]) -> None:
-        """The next one's time is set when the one before has come, so that few timers are out."""
-        wish = next(coming, None)
-        if wish is None:
+    def _schedule_arrivals(self, arrivals: Iterator[ClientArrival]) -> None:
+        """Schedules the next arrival only when the one before has come, so that few timers are pending."""
+        arrival = next(arrivals, None)
+        if arrival is None:
             return
 
-        def come() -> None:
-            client = Client(self, wish)
-            client.due_at = self.began_at + wish.at
+        def arrive() -> None:
+            client = Client(self, arrival)
+            client.due_at = self.began_at + arrival.at
             self.present[client] = None
             client.request_tunnel()
-            self._schedule_arrivals(coming)
+            self._schedule_arrivals(arrivals)
 
-        self.call_at(self.began_at + wish.at, come)
+        self.call_at(self.began_at + arrival.at, arrive)
 
     def _count_credit(self) -> None:
         now = time.monotonic()
@@ -408,8 +415,8 @@
             self.loop.call_later(SERVICE_CHECK_SECONDS, self._count_credit)
 
     def _record_second(self) -> None:
-        number = sum(client.state is ClientState.OPEN for client in self.present)
-        self.writer.write(Second(time.monotonic(), self.credit_asked, self.credit_served, number))
+        open_count = sum(client.state is ClientState.OPEN for client in self.present)
+        self.writer.write(Second(time.monotonic(), self.credit_asked, self.credit_served, open_count))
         self.credit_asked, self.credit_served = (
             [0.0] * len(self.credit_asked),
             [0.0] * len(self.credit_served),
@@ -418,6 +425,7 @@
             self.loop.call_later(1.0, self._record_second)
 
     def handle_command(self, command: child_process.Message) -> None:
+        """A command of the run: begin, end, or a fault of some clients."""
         match command["what"]:
             case "begin":
                 self.begin(float(command["at"]))
@@ -442,8 +450,9 @@
                 raise ValueError(f"unknown command {what!r}")
 
 
-async def start(told: child_process.Message, writer: Writer) -> child_process.CommandHandler:
-    return Clients(told, writer).handle_command
+async def start(start_values: child_process.Message, writer: Writer) -> child_process.CommandHandler:
+    """Starts the health checks; the handler takes the run's commands."""
+    return Clients(start_values, writer).handle_command
 
 
 if __name__ == "__main__":
--- a/pointgw/testbed/server.py
+++ b/pointgw/testbed/server.py
@@ -1,4 +1,4 @@
-"""A stand-in server as a process: our protocol on sockets round a `Machine`."""
+"""A stand-in server process: the balancers' protocol on sockets, with a `ServerModel` behind it."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from pointgw.testbed.records import Fell, Gone, Said, Started, State, Took, Writer
 from pointgw.testbed.server_model import Health, Make, ServedTunnel, ServerModel
 
-MODEL_STEP_SECONDS = 0.02  # seconds between two turns of the machine
+MODEL_STEP_SECONDS = 0.02  # seconds between two steps of the model
 DRAIN_STEP_SECONDS = 0.25  # seconds between two rounds of MOVE while draining
-LOAD_CHANGE_PROBABILITY = 0.1  # of its tunnels whose load changes in a second
+LOAD_CHANGE_PROBABILITY = 0.1  # probability that a tunnel's load changes in a second
 
 
 class ConnectionState(Enum):
-    """Where a connection to a server stands."""
+    """State of a connection to a server."""
 
-    NEW = "fresh"  # probes, or the first line
+    NEW = "new"  # nothing received but probes
     SETTING_UP = "setting up"
-    OPEN = "up"
-    CLOSED = "over"
+    OPEN = "open"
+    CLOSED = "closed"
 
 
 TRANSITIONS = {
@@ -45,6 +45,8 @@
 
 
 class Connection(asyncio.Protocol):
+    """A balancer's connection: probes, or one setup and its tunnel."""
+
     __slots__ = (
         "balancer",
         "buffer",
@@ -63,13 +65,13 @@
         self.state = ConnectionState.NEW
         self.tunnel_id = ""
         self.fields: dict[str, str] = {}
-        self.last_answer_due = 0.0  # when the latest answer goes out: none overtakes another
+        self.last_answer_due = 0.0  # loop time of the latest answer; keeps answers in order
 
-    def change_state(self, stage: ConnectionState) -> None:
-        """The one place where a connection changes state."""
-        if stage not in TRANSITIONS[self.state]:
-            raise ValueError(f"{self.state.value} cannot become {stage.value}")
-        self.state = stage
+    def change_state(self, state: ConnectionState) -> None:
+        """Moves to a state; raises ValueError for a transition that is not allowed."""
+        if state not in TRANSITIONS[self.state]:
+            raise ValueError(f"{self.state.value} cannot become {state.value}")
+        self.state = state
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -98,8 +100,8 @@
             raise Malformed("expected nothing before the answer")
         elif line in (b"PING", b"STATS"):
             if server.model.health is not Health.HANGING:
-                told = b"" if line == b"PING" or not server.sends_reports else b" " + server.latest_report()
-                self.send(b"PONG" + told)
+                report = b"" if line == b"PING" or not server.sends_reports else b" " + server.latest_report()
+                self.send(b"PONG" + report)
         else:
             self._begin_setup(line)
 
@@ -114,16 +116,18 @@
         self.server.setup_received(self)
 
     def send_later(self, wait: float, line: bytes) -> None:
+        """Sends a line after `wait` seconds, but not before lines that wait already."""
         loop = self.server.loop
         self.last_answer_due = max(self.last_answer_due, loop.time() + wait)
         loop.call_at(self.last_answer_due, self.send, line)
 
     def send(self, line: bytes) -> None:
+        """Sends a line now; ignored once the connection is closed."""
         if self.state is not ConnectionState.CLOSED:
             self.transport.write(line + LINE_END)
 
     def answer_setup(self, line: bytes) -> None:
-        """The answer to a setup."""
+        """Answers the setup: UP opens the tunnel, any other line closes the connection."""
         if self.state is ConnectionState.SETTING_UP:
             server = self.server
             server.writer.write(Said(time.monotonic(), server.name, self.tunnel_id, line.decode()))
@@ -134,6 +138,7 @@
                 self.close("server")
 
     def close(self, by: str, reset: bool = False) -> None:
+        """Closes the connection; `by`: the side that ends it, "server" or "balancer"."""
         if self.state is ConnectionState.CLOSED:
             return
         if self.tunnel_id:
@@ -154,29 +159,32 @@
 
 
 class Server:
-    """One stand-in server."""
+    """One stand-in server: its listeners, open tunnels and timers."""
 
-    def __init__(self, told: child_process.Message, writer: Writer) -> None:
+    def __init__(self, start_values: child_process.Message, writer: Writer) -> None:
         now = time.monotonic()
-        self.name, self.writer, self.start_values = told["who"], writer, told
-        self.start_number = int(told["start"])
-        self.rng = Random(f"{told['seed']}/{self.name}/{self.start_number}")
-        # Cold from the moment that discovery tells as its start; 0: long ago.
-        since = float(told["since"])
+        self.name, self.writer, self.start_values = start_values["who"], writer, start_values
+        self.start_number = int(start_values["start"])
+        self.rng = Random(f"{start_values['seed']}/{self.name}/{self.start_number}")
+        # Slow start counts from the start time that discovery reports; 0: long ago.
+        since = float(start_values["since"])
         began = now - (time.time() - since) if since else 0.0
-        make = msgspec.convert(told["make"], Make)
+        make = msgspec.convert(start_values["make"], Make)
         self.model = ServerModel(make, began, now)
         self.loop = asyncio.get_running_loop()
         self.open_tunnels: dict[str, Connection] = {}
         self.sends_reports = True
         self.reports_frozen = False
-        self.report_history: deque[tuple[float, bytes]] = deque(maxlen=16)  # reports, and when each was made
-        self.receipt_count = 0  # receipts
+        self.report_history: deque[tuple[float, bytes]] = deque(
+            maxlen=16
+        )  # reports, and from when each is sent
+        self.receipt_count = 0  # number of the latest receipt
         self.drain_deadline = 0.0
         self.recent_opens: deque[float] = deque(maxlen=200)
         writer.write(Started(began or now, self.name, self.start_number, bool(since)))
 
     async def serve(self) -> None:
+        """Starts to listen, for each balancer on an address of its own, and starts the timers."""
         for number, (host, port) in enumerate(self.start_values["listen"]):
             await self.loop.create_server(partial(Connection, self, number), host, port, backlog=1024)
         self.loop.call_soon(self._step_model)
@@ -186,7 +194,8 @@
     # Setups and tunnels.
 
     def setup_received(self, connection: Connection) -> None:
-        now, machine = time.monotonic(), self.model
+        """Answers a setup as the server's health has it."""
+        now, model = time.monotonic(), self.model
         self.writer.write(
             Took(
                 now,
@@ -197,15 +206,15 @@
                 self.start_number,
             )
         )
-        if machine.health is Health.HANGING:
+        if model.health is Health.HANGING:
             return
-        if machine.health in (Health.DRAINING, Health.FULL) or machine.is_full():
+        if model.health in (Health.DRAINING, Health.FULL) or model.is_full():
             connection.answer_setup(b"BUSY")
-        elif machine.health is Health.ERRORS and self.rng.random() < machine.error_share:
+        elif model.health is Health.ERRORS and self.rng.random() < model.error_share:
             connection.answer_setup(b"ERR")
         else:
-            wait = machine.add_setup(now)
-            if machine.health is Health.OVERLOADED:
+            wait = model.add_setup(now)
+            if model.health is Health.OVERLOADED:
                 self._reset_all_tunnels(now)
             else:
                 self.loop.call_later(wait, self._finish_setup, connection)
@@ -228,6 +237,7 @@
             connection.send(b"LOAD %d" % round(load * 1e6))
 
     def connection_ended(self, connection: Connection, by: str) -> None:
+        """Removes a connection's tunnel, if it was open, and records its end."""
         now = time.monotonic()
         if self.open_tunnels.get(connection.tunnel_id) is connection:
             del self.open_tunnels[connection.tunnel_id]
@@ -240,17 +250,17 @@
         for connection in list(self.open_tunnels.values()):
             connection.close("server", reset=True)
 
-    # By the clock.
+    # Timers.
 
     def _step_model(self) -> None:
         self.model.advance(time.monotonic())
-        heaviest = self.model.tunnel_to_drop()
-        if heaviest is not None and heaviest in self.open_tunnels:
-            self.open_tunnels[heaviest].close("server", reset=True)
+        dropped = self.model.tunnel_to_drop()
+        if dropped is not None and dropped in self.open_tunnels:
+            self.open_tunnels[dropped].close("server", reset=True)
         self.loop.call_later(MODEL_STEP_SECONDS, self._step_model)
 
     def _make_report(self) -> None:
-        """Reports show what was so a little while ago."""
+        """Stores a report, which is sent from `report_late` seconds on."""
         if not self.reports_frozen:
             noise = 1 + self.rng.uniform(-1, 1) * self.start_values["report_noise"]
             load, now = self.model.load() * noise, time.monotonic()
@@ -260,66 +270,68 @@
         self.loop.call_later(self.start_values["report_every"], self._make_report)
 
     def latest_report(self) -> bytes:
+        """The report that is due to be sent now; empty if there is none yet."""
         now = time.monotonic()
-        shown = [report for at, report in self.report_history if at <= now]
-        return shown[-1] if shown else b""
+        due = [report for at, report in self.report_history if at <= now]
+        return due[-1] if due else b""
 
     def _record_state(self) -> None:
-        now, machine = time.monotonic(), self.model
+        now, model = time.monotonic(), self.model
         for name in list(self.open_tunnels):
             if self.rng.random() < LOAD_CHANGE_PROBABILITY:
-                self._send_load(self.open_tunnels[name], machine.vary_load(name, self.rng))
-        health, warmth = machine.health.value, machine.warm_share()
+                self._send_load(self.open_tunnels[name], model.vary_load(name, self.rng))
+        health, warmth = model.health.value, model.warm_share()
         self.writer.write(
-            State(now, self.name, machine.load(), len(self.open_tunnels), machine.backlog, health, warmth)
+            State(now, self.name, model.load(), len(self.open_tunnels), model.backlog, health, warmth)
         )
         self.loop.call_later(1.0, self._record_state)
 
     def _drain_step(self) -> None:
-        """Sends its clients away bit by bit until its time is up."""
+        """Sends MOVE to a share of the tunnels, so that all have left at the deadline."""
         if self.model.health is not Health.DRAINING:
             return
-        left = max(1, int((self.drain_deadline - time.monotonic()) / DRAIN_STEP_SECONDS))
-        for name in list(self.open_tunnels)[: ceil(len(self.open_tunnels) / left)]:
+        steps_left = max(1, int((self.drain_deadline - time.monotonic()) / DRAIN_STEP_SECONDS))
+        for name in list(self.open_tunnels)[: ceil(len(self.open_tunnels) / steps_left)]:
             connection = self.open_tunnels[name]
             connection.send(MOVE)
             connection.close("server")
         self.loop.call_later(DRAIN_STEP_SECONDS, self._drain_step)
 
     def handle_command(self, command: child_process.Message) -> None:
-        """A command of the rig."""
-        machine, what = self.model, command["what"]
-        if machine.health is Health.OVERLOADED:
+        """A command of the run: a fault or its end. Ignored once the server is overloaded."""
+        model, what = self.model, command["what"]
+        if model.health is Health.OVERLOADED:
             return
-        machine.advance(time.monotonic())
+        model.advance(time.monotonic())
         match what:
             case "well":
-                machine.change_health(Health.HEALTHY)
-                machine.capacity_share, machine.error_share = 1.0, 0.0
+                model.change_health(Health.HEALTHY)
+                model.capacity_share, model.error_share = 1.0, 0.0
                 self.reports_frozen, self.sends_reports = False, True
             case "errors":
-                machine.change_health(Health.ERRORS)
-                machine.error_share = float(command["size"])
+                model.change_health(Health.ERRORS)
+                model.error_share = float(command["size"])
             case "hang":
-                machine.change_health(Health.HANGING)
+                model.change_health(Health.HANGING)
             case "full":
-                machine.change_health(Health.FULL)
+                model.change_health(Health.FULL)
             case "slow":
-                machine.capacity_share = float(command["size"])
+                model.capacity_share = float(command["size"])
             case "stuck":
                 self.reports_frozen = True
             case "absent":
                 self.sends_reports = False
             case "drain":
-                machine.change_health(Health.DRAINING)
+                model.change_health(Health.DRAINING)
                 self.drain_deadline = time.monotonic() + float(command["seconds"])
                 self._drain_step()
             case _:
                 raise ValueError(f"unknown command {what!r}")
 
 
-async def start(told: child_process.Message, writer: Writer) -> child_process.CommandHandler:
-    server = Server(told, writer)
+async def start(start_values: child_process.Message, writer: Writer) -> child_process.CommandHandler:
+    """Starts a server; the handler takes the run's commands."""
+    server = Server(start_values, writer)
     await server.serve()
     return server.handle_command
 
