--- a/pointgw/testbed/clients.py
+++ b/pointgw/testbed/clients.py
@@ -173,8 +173,8 @@
         group = f",g={arrival.group}" if arrival.group else ""
         line = (
             f"OPEN {self.tunnel_id} k{arrival.number:x} c={profile.name},t=all"
-            f",d={round(answer_timeout * 1e3)}{group},w={round(arrival.load * 1e6)},s={clients.demand.swing:g}"
-            f"{',again=1' if client.returning else ''}"
+            f",d={round(answer_timeout * 1e3)}{group},w={round(arrival.load * 1e6)}"
+            f",s={clients.demand.swing:g}{',again=1' if client.returning else ''}"
         )
         self.transport.write(line.encode() + LINE_END)
         self.sent = True
@@ -246,8 +246,8 @@
         self.client.clients.writer.write(Answered(time.monotonic(), self.tunnel_id, how, line))
 
     def _record_further(self, line: bytes) -> None:
-        shown = line[:80].decode("ascii", "replace")
-        self.client.clients.writer.write(Further(time.monotonic(), self.tunnel_id, shown))
+        text = line[:80].decode("ascii", "replace")
+        self.client.clients.writer.write(Further(time.monotonic(), self.tunnel_id, text))
 
     def _begin_tunnel(self) -> None:
         client, clients = self.client, self.client.clients
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -1,4 +1,4 @@
-"""The rig's parts by themselves, and one short run of all of them."""
+"""Tests of the testbed: its modules one by one, and short runs of all its processes on real sockets."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 MAKE = Make(1.0, 100, 0.1, 0.01, 0.001, 0.2, 10.0, 3.0, 2.0, 0.5, 3.0, 0.1)
 
 
-def machine(started: float = 0.0, now: float = 100.0, **changes: Any) -> ServerModel:
-    return ServerModel(replace(MAKE, **changes), started, now)
+def make_server(started_at: float = 0.0, now: float = 100.0, **changes: Any) -> ServerModel:
+    return ServerModel(replace(MAKE, **changes), started_at, now)
 
 
-def test_load_counts_each_group_once_and_falls_when_tunnels_go() -> None:
-    server = machine()
+def test_load_counts_each_group_once_and_decreases_when_tunnels_end() -> None:
+    server = make_server()
     for i in range(4):
         server.add_tunnel(ServedTunnel(f"t{i}", "g" if i < 3 else "", 0.1, 0.0))
     assert server.load() == pytest.approx(0.5)
@@ -47,32 +47,32 @@
     assert server.load() == 0.0 and not server.group_sizes
 
 
-def test_work_over_capacity_piles_up_slows_answers_and_thrashes() -> None:
-    server = machine()
-    well = server.answer_delay()
+def test_work_over_capacity_adds_backlog_delays_answers_and_thrashes() -> None:
+    server = make_server()
+    idle_delay = server.answer_delay()
     server.add_tunnel(ServedTunnel("t", "", 2.0, 0.0))
     server.advance(100.5)
-    assert server.backlog == pytest.approx(0.5) and server.answer_delay() > 0.5 > well
+    assert server.backlog == pytest.approx(0.5) and server.answer_delay() > 0.5 > idle_delay
     server.advance(102.0)
     assert server.capacity() == 0.5  # the thrash share is lost
     server.advance(104.0)
     assert server.tunnel_to_drop() == "t"
 
 
-def test_a_cold_server_warms_evenly_and_falls_when_pushed() -> None:
-    server = machine(started=100.0)
+def test_a_cold_server_warms_linearly_and_is_overloaded_by_too_many_setups() -> None:
+    server = make_server(started_at=100.0)
     assert server.warm_share() == pytest.approx(0.2)
     server.advance(105.0)
     assert server.warm_share() == pytest.approx(0.6)
     server.advance(110.0)
     assert server.warm_share() == 1.0
-    cold = machine(started=100.0)
-    room = int(cold.setup_budget(100.0))
+    cold = make_server(started_at=100.0)
+    budget = int(cold.setup_budget(100.0))
     healths = []
-    for _ in range(room + 1):
+    for _ in range(budget + 1):
         cold.add_setup(100.0)
         healths.append(cold.health)
-    assert healths == [Health.HEALTHY] * room + [Health.OVERLOADED]
+    assert healths == [Health.HEALTHY] * budget + [Health.OVERLOADED]
     with pytest.raises(ValueError):
         cold.change_health(Health.HEALTHY)
 
@@ -81,53 +81,53 @@
     return Line(name, "a", "m", 0, status, 0)
 
 
-def test_the_roster_tells_changes_whole_lists_and_starts_anew() -> None:
-    roster = Registry()
-    there = {"s-0": "127.0.0.1:1", "s-1": "127.0.0.1:2"}
-    roster.apply(line("s-0"))
-    roster.apply(line("s-1"))
-    whole = roster.answer(None, there)
+def test_the_registry_answers_with_changes_or_the_whole_list_and_can_reset_its_index() -> None:
+    registry = Registry()
+    addresses = {"s-0": "127.0.0.1:1", "s-1": "127.0.0.1:2"}
+    registry.apply(line("s-0"))
+    registry.apply(line("s-1"))
+    whole = registry.answer(None, addresses)
     assert whole is not None and whole["snapshot"] and len(whole["endpoints"]) == 2
-    assert roster.answer(roster.index, there) is None
-    roster.apply(line("s-0", "draining"))
-    news = roster.answer(roster.index - 1, there)
-    assert news is not None and not news["snapshot"] and news["endpoints"][0]["status"] == "draining"
-    roster.set_answer_mode(AnswerMode.STALE)
-    assert not roster.apply(line("s-1", "removed")) and "s-1" in roster.lines
-    assert [held.name for held in roster.set_answer_mode(AnswerMode.NORMAL)] == [
+    assert registry.answer(registry.index, addresses) is None
+    registry.apply(line("s-0", "draining"))
+    changes = registry.answer(registry.index - 1, addresses)
+    assert changes is not None and not changes["snapshot"] and changes["endpoints"][0]["status"] == "draining"
+    registry.set_answer_mode(AnswerMode.STALE)
+    assert not registry.apply(line("s-1", "removed")) and "s-1" in registry.lines
+    assert [released.name for released in registry.set_answer_mode(AnswerMode.NORMAL)] == [
         "s-1"
-    ] and "s-1" not in roster.lines
-    before = roster.index
-    roster.reset_index()
-    again = roster.answer(before, there)
-    assert again is not None and again["snapshot"] and again["index"] == 1
-
-
-def test_the_front_notices_a_dead_balancer_late_and_deals_by_zone() -> None:
-    doors = [BalancerHealth(0, 0), BalancerHealth(1, 1)]
-    assert pick_balancer(doors, 0, Random(1)) is None
-    for door in doors:
-        door.record_ping(True, 1.0)
-    assert {pick_balancer(doors, 1, Random(i)) for i in range(20)} == {1}
-    doors[1].record_ping(False, 2.0)
-    assert pick_balancer(doors, 1, Random(1)) == 1
-    doors[1].record_ping(False, 4.1)
-    assert doors[1].state is HealthState.OUT and pick_balancer(doors, 1, Random(1)) == 0
-
-
-def test_demand_is_the_same_for_a_seed_and_doubles_in_a_burst() -> None:
+    ] and "s-1" not in registry.lines
+    old_index = registry.index
+    registry.reset_index()
+    after_reset = registry.answer(old_index, addresses)
+    assert after_reset is not None and after_reset["snapshot"] and after_reset["index"] == 1
+
+
+def test_the_front_end_removes_a_dead_balancer_after_a_delay_and_picks_by_zone() -> None:
+    balancers = [BalancerHealth(0, 0), BalancerHealth(1, 1)]
+    assert pick_balancer(balancers, 0, Random(1)) is None
+    for balancer in balancers:
+        balancer.record_ping(True, 1.0)
+    assert {pick_balancer(balancers, 1, Random(i)) for i in range(20)} == {1}
+    balancers[1].record_ping(False, 2.0)
+    assert pick_balancer(balancers, 1, Random(1)) == 1
+    balancers[1].record_ping(False, 4.1)
+    assert balancers[1].state is HealthState.OUT and pick_balancer(balancers, 1, Random(1)) == 0
+
+
+def test_arrivals_repeat_for_a_seed_and_double_in_a_burst() -> None:
     burst = Trouble(10.0, "burst", 10.0, size=2.0)
     scenario = Scenario("t", "t", seconds=30.0, demand=Demand(arrivals=50.0), trouble=(burst,))
-    found = list(client_arrivals(scenario))
-    assert found == list(client_arrivals(scenario))
-    assert found != list(client_arrivals(msgspec.structs.replace(scenario, seed=2)))
-    before, during = (sum(a <= w.at < a + 10 for w in found) for a in (0.0, 10.0))
-    assert 1.7 < during / before < 2.4 and [w.at for w in found] == sorted(w.at for w in found)
-    usual = sum(w.lifetime * w.load for w in found) / len(found)
-    assert usual == pytest.approx(mean_tunnel_work(scenario.demand), rel=0.25)
+    arrivals = list(client_arrivals(scenario))
+    assert arrivals == list(client_arrivals(scenario))
+    assert arrivals != list(client_arrivals(msgspec.structs.replace(scenario, seed=2)))
+    before, during = (sum(start <= a.at < start + 10 for a in arrivals) for start in (0.0, 10.0))
+    assert 1.7 < during / before < 2.4 and [a.at for a in arrivals] == sorted(a.at for a in arrivals)
+    mean_work = sum(a.lifetime * a.load for a in arrivals) / len(arrivals)
+    assert mean_work == pytest.approx(mean_tunnel_work(scenario.demand), rel=0.25)
 
 
-def test_troubles_hit_the_same_ones_for_a_seed() -> None:
+def test_faults_hit_the_same_targets_for_a_seed() -> None:
     scenario = read("demo")
     assert moments(scenario) == moments(scenario)
     for name in library():
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "path"),
+    ("content", "path"),
     [
         ({"trouble": [{"at": 1.0, "what": "server-kil"}]}, "trouble[0].what"),
         ({"trouble": [{"at": 39.0, "what": "burst", "seconds": 5.0}]}, "trouble[0].at"),
@@ -148,13 +148,13 @@
         ({"trouble": [{"at": 1.0, "what": "server-start"}]}, "trouble[0].what"),
     ],
 )
-def test_a_faulty_scenario_is_named(told: dict[str, Any], path: str) -> None:
+def test_an_invalid_scenario_value_is_named_by_its_path(content: dict[str, Any], path: str) -> None:
     with pytest.raises(validation.InvalidFileError) as found:
-        validation.convert({"name": "t", "about": "t"} | told, Scenario, "f")
+        validation.convert({"name": "t", "about": "t"} | content, Scenario, "f")
     assert [fault.path for fault in found.value.problems] == [path]
 
 
-def test_recovery_is_told_from_the_seconds_of_service() -> None:
+def test_recovery_time_follows_from_the_share_served_each_second() -> None:
     shares = [1.0] * 10 + [0.5, 0.6, 0.9, 1.0, 1.0, 1.0, 1.0]
     found = results._recovery(shares, 10.25, 11.0, "x")
     assert found == results.Recovery("x", 10.25, 0.5, 2.75)
@@ -170,21 +170,21 @@
         ({1: 0.9}, {1: 0.5}, "not told apart by one run"),
     ],
 )
-def test_a_difference_smaller_than_the_noise_is_said_so(
+def test_a_difference_smaller_than_the_noise_is_reported_as_such(
     first: dict[int, float], second: dict[int, float], verdict: str
 ) -> None:
     assert results.compare(first, second).verdict == verdict
 
 
-def test_a_stand_in_that_is_itself_the_bottleneck_is_named() -> None:
-    meta = Play(read("calm"), Path("unused"))
+def test_a_testbed_process_that_is_the_bottleneck_is_named() -> None:
+    run = Play(read("calm"), Path("unused"))
     found: list[rec.AnyRecord] = [rec.Strain(float(t), "clients", 0.2, 0.95) for t in range(1, 9)]
     found += [rec.Strain(float(t), "s-1", 0.0, 0.1) for t in range(1, 9)]
     found += [rec.Machine(float(t), 0.02) for t in range(1, 9)]
     from pointgw.testbed.meta import Meta
 
-    told = results.strain(found, Meta(meta.scenario, "srlb", 0.0, 10.0, False, (), {}, {}))
-    assert len(told) == 3 and all("clients" in line or "machine" in line for line in told)
+    warnings = results.strain(found, Meta(run.scenario, "srlb", 0.0, 10.0, False, (), {}, {}))
+    assert len(warnings) == 3 and all("clients" in text or "machine" in text for text in warnings)
 
 
 # Runs on real sockets.
@@ -197,8 +197,8 @@
 )  # fmt: skip
 
 
-def left_of(folder: Path) -> list[str]:
-    """Processes of a run that are still there."""
+def processes_of(folder: Path) -> list[str]:
+    """Ids of the processes of a run that are still running."""
     found = []
     for path in Path("/proc").glob("[0-9]*/environ"):
         try:
@@ -209,21 +209,21 @@
     return found
 
 
-def test_a_run_with_two_deaths_keeps_the_rules_and_leaves_nothing(tmp_path: Path) -> None:
+def test_a_run_with_two_killed_processes_keeps_the_rules_and_leaves_no_process(tmp_path: Path) -> None:
     meta = asyncio.run(Play(SHORT, tmp_path).play())
     found = rec.read(tmp_path)
     verdict = judge(found, meta)
     assert verdict.kept and verdict.judged > 60, verdict.breaches
-    told = results.result(found, meta, verdict)
-    assert told.service > 0.2 and told.answers["opened"] > 60 and told.setups["p50"] < 1.0
-    assert [recovery.what for recovery in told.recovery] == ["server-kill", "balancer-kill"]
-    assert not left_of(tmp_path)
-    # The same records without one answer: the referee must say no.
+    result = results.result(found, meta, verdict)
+    assert result.service > 0.2 and result.answers["opened"] > 60 and result.setups["p50"] < 1.0
+    assert [recovery.what for recovery in result.recovery] == ["server-kill", "balancer-kill"]
+    assert not processes_of(tmp_path)
+    # The same records without one answer have to violate the rules.
     first = next(r for r in found if isinstance(r, rec.Answered) and r.how == "opened")
     assert not judge([r for r in found if r is not first], meta).kept
 
 
-def test_a_part_of_the_rig_that_dies_makes_the_run_void(tmp_path: Path) -> None:
+def test_a_run_is_void_when_a_testbed_process_dies(tmp_path: Path) -> None:
     async def run() -> None:
         play = Play(SHORT, tmp_path)
         playing = asyncio.create_task(play.play())
@@ -234,31 +234,31 @@
             await playing
 
     asyncio.run(run())
-    assert not left_of(tmp_path)
+    assert not processes_of(tmp_path)
 
 
 def test_an_interrupted_run_leaves_no_process(tmp_path: Path) -> None:
     folder = tmp_path / "found"
     command = [sys.executable, "-m", "pointgw", "rig", "run", "calm", "--folder", str(folder)]
-    for name, code in ((signal.SIGINT, 130), (signal.SIGKILL, -9)):
+    for signal_number, code in ((signal.SIGINT, 130), (signal.SIGKILL, -9)):
         run = subprocess.Popen(command, env=os.environ, stderr=subprocess.DEVNULL)
         deadline = time.monotonic() + 15
         while not list(folder.glob("*/*/clients.jsonl")) and time.monotonic() < deadline:
             time.sleep(0.05)
-        balancers = left_of(folder)
-        assert balancers
-        run.send_signal(name)
+        processes = processes_of(folder)
+        assert processes
+        run.send_signal(signal_number)
         assert run.wait(10) == code
         deadline = time.monotonic() + 5
-        while left_of(folder) and time.monotonic() < deadline:
+        while processes_of(folder) and time.monotonic() < deadline:
             time.sleep(0.05)
-        assert not left_of(folder)
+        assert not processes_of(folder)
         for path in folder.glob("*/*/clients.jsonl"):
             path.unlink()
 
 
-def test_a_run_does_not_take_over_what_an_earlier_one_left(tmp_path: Path) -> None:
-    # Guards against balancers that remember the servers drained in the run before.
+def test_a_run_removes_the_files_of_an_earlier_run(tmp_path: Path) -> None:
+    # Guards against balancers that restore a snapshot with servers drained in the run before.
     (tmp_path / "state-n0").mkdir()
     for name in ("state-n0/state.1", "s-9.jsonl", "n0.toml", "kept.txt"):
         (tmp_path / name).write_text("old")
@@ -266,20 +266,20 @@
     assert [path.name for path in tmp_path.iterdir()] == ["kept.txt"]
 
 
-def test_stand_ins_a_balancer_by_hand_and_load_and_all_end_when_told(tmp_path: Path, capfd: Any) -> None:
-    config, door = tmp_path / "config.json", f"127.{200 + os.getpid() % 50}.0.1:18443"
+def test_load_on_a_balancer_with_stand_ins_and_all_end_on_a_signal(tmp_path: Path, capfd: Any) -> None:
+    config, address = tmp_path / "config.json", f"127.{200 + os.getpid() % 50}.0.1:18443"
     command = [sys.executable, "-m", "pointgw"]
-    aside = ["--config", str(config), "--balancer", door]
-    stand_in = subprocess.Popen([*command, "stand-in", *aside], stdout=subprocess.PIPE)
+    options = ["--config", str(config), "--balancer", address]
+    stand_in = subprocess.Popen([*command, "stand-in", *options], stdout=subprocess.PIPE)
     assert stand_in.stdout is not None
     assert stand_in.stdout.readline().startswith(b"4 servers from 127.0.0.1:")
     balancer = subprocess.Popen(command, env=os.environ | {"GW_CONFIG": str(config)}, stderr=subprocess.PIPE)
     assert balancer.stderr is not None
     while b"event=serving" not in balancer.stderr.readline():
         assert balancer.poll() is None
-    assert main(["load", "--to", door, "--rate", "40", "--seconds", "1", "--life", "0.2", "--json"]) == 0
-    told = msgspec.json.decode(capfd.readouterr().out)
-    assert told["opened"] == told["asked"] > 20 and told["p99_ms"] < 1800
+    assert main(["load", "--to", address, "--rate", "40", "--seconds", "1", "--life", "0.2", "--json"]) == 0
+    figures = msgspec.json.decode(capfd.readouterr().out)
+    assert figures["opened"] == figures["asked"] > 20 and figures["p99_ms"] < 1800
     balancer.terminate()
     stand_in.send_signal(signal.SIGINT)
     assert balancer.wait(10) == 0 and stand_in.wait(10) == 0
@@ -287,7 +287,7 @@
     stand_in.stdout.close()
 
 
-def test_commands_of_the_rig_say_what_is_wrong(tmp_path: Path, capfd: Any) -> None:
+def test_rig_commands_report_wrong_arguments_in_one_line(tmp_path: Path, capfd: Any) -> None:
     assert main(["rig", "run", "nothing-of-the-kind"]) == 2
     assert "calm" in capfd.readouterr().err
     path = tmp_path / "result.json"
