--- a/pointgw/net/run/balancer_process.py
+++ b/pointgw/net/run/balancer_process.py
@@ -52,21 +52,20 @@
     from pointgw.net.run.recovery import RecoveryRunner
     from pointgw.net.run.snapshots import SnapshotRunner
 
-CHECK_INTERVAL = 0.25  # seconds between two looks for connections that bring nothing back
-STATE_LOG_INTERVAL = 10.0  # seconds between two lines of the log on how things stand
-FIRST_LINE_SHARE = 0.5  # of the longest client timeout: how long a client may say nothing that can be used
-BAD_CLIENT_TIMEOUT = 3.0  # seconds from its connection within which a bad client has an error or a close
-SPARE_DESCRIPTOR_SHARE = 1 / 8  # of the descriptors that are kept free of clients that say nothing
-OWN_DESCRIPTORS = 16  # descriptors of the process itself
-CLOCK_RESOLUTION = 0.001  # seconds: what the loop's clock can tell apart
-EXIT_CHECK_INTERVAL = 0.01  # seconds between two looks whether the last connections have ended
-BIND_TIMEOUT, BIND_RETRY_DELAY = (
-    8.0,
-    0.25,
-)  # seconds for which an address that is taken is tried; between two tries
-REREAD_DELAY, MAX_REREADS = 0.25, 8  # seconds until a start-up file that was refused is read again; how often
-ANSWER_SLACK = 0.25  # seconds after its deadline from which a request without an answer is a fault
-STOP_RETRY_DELAY = 0.1  # seconds until a step of the stop that failed is tried again
+CHECK_INTERVAL = 0.25  # seconds between two checks for silent connections and overdue answers
+STATE_LOG_INTERVAL = 10.0  # seconds between two state lines of the log
+FIRST_LINE_SHARE = 0.5  # share of the longest client timeout within which a client must begin its request
+BAD_CLIENT_TIMEOUT = 3.0  # seconds after accept by which a misbehaving client gets an error or a close
+SPARE_DESCRIPTOR_SHARE = 1 / 8  # share of the descriptors in reserve; idle connections are closed for it
+OWN_DESCRIPTORS = 16  # descriptors that the process itself uses
+CLOCK_RESOLUTION = 0.001  # seconds, resolution of the event loop's clock
+EXIT_CHECK_INTERVAL = 0.01  # seconds between two checks whether the last connections have closed
+BIND_TIMEOUT = 8.0  # seconds for which binding to an address in use is retried
+BIND_RETRY_DELAY = 0.25  # seconds between two attempts to bind
+REREAD_DELAY = 0.25  # seconds until a rejected start-up file is read again
+MAX_REREADS = 8  # times that a rejected start-up file is read again after one SIGHUP
+ANSWER_SLACK = 0.25  # seconds after its deadline from which a request without an answer counts as an error
+STOP_RETRY_DELAY = 0.1  # seconds until a failed stop is tried again
 
 _log = logging.getLogger("pointgw.node")
 _trace = logging.getLogger("pointgw.trace")  # every event and its effects, for debug runs
