--- a/pointgw/net/run/balancer_process.py
+++ b/pointgw/net/run/balancer_process.py
@@ -1,4 +1,4 @@
-"""One real balancer: feeds events to the reducer, in order, and carries out the effects it asks for."""
+"""The balancer process: passes events to the reducer, in order, and executes the effects that it returns."""
 
 from __future__ import annotations
 
@@ -72,6 +72,8 @@
 
 
 class BalancerProcess:
+    """One balancer on an event loop: its connections, timers, signals and log."""
+
     def __init__(
         self,
         start_up: StartUpSettings,
@@ -90,7 +92,7 @@
             read_settings,
             operator_file,
         )
-        self.wall_clock_offset = time.time() - time.monotonic()  # servers' starts are told in the time of day
+        self.wall_clock_offset = time.time() - time.monotonic()  # servers' start times are wall time
         self.reducer = self._create_reducer(policy)
         self.slow_threshold = self.reducer.balancer.attempt_timeout / 3
         self.partial_line_timeout = min(
@@ -112,14 +114,13 @@
         self.processing = False
         self.timer: asyncio.TimerHandle | None = None
         self.stopping = False
-        self.reload_count = 0  # signals to read the files again
+        self.reload_count = 0  # signals to reload received so far
         self.request_log, self.route_evidence = RequestLog(), RouteEvidence()
         self.timeout_check = PeriodicTimer(loop, "look", lambda: CHECK_INTERVAL, self._check_timeouts)
         self.state_log = PeriodicTimer(loop, "report", self._state_log_interval, self._log_state)
         self.exit_check: PeriodicTimer | None = None
-        self.discovery_answered: asyncio.Future[None] = (
-            loop.create_future()
-        )  # by discovery, or that it says nothing
+        # Set once discovery has answered or failed to, or the process stops.
+        self.discovery_answered: asyncio.Future[None] = loop.create_future()
         self.ended: asyncio.Future[None] = loop.create_future()
 
     def _create_reducer(self, policy: type[Balancer]) -> Reducer:
@@ -127,24 +128,26 @@
             return Reducer(self.start_up, self.now(), policy)
         from pointgw.net.run.snapshots import restore_learned_state
 
-        recalled = self.snapshots.restored
-        reducer = Reducer(self.start_up, self.now(), policy, self.snapshots.membership, recalled)
-        if recalled is not None:
-            restore_learned_state(reducer.balancer, recalled, self.now())
+        restored = self.snapshots.restored
+        reducer = Reducer(self.start_up, self.now(), policy, self.snapshots.membership, restored)
+        if restored is not None:
+            restore_learned_state(reducer.balancer, restored, self.now())
         return reducer
 
     def now(self) -> float:
+        """Wall time in seconds as of the process's start, continued by the monotonic clock."""
         return time.monotonic() + self.wall_clock_offset
 
-    def register_request(self, side: ClientConnection) -> int:
+    def register_request(self, client: ClientConnection) -> int:
+        """Gives the number by which the reducer's events and effects refer to this client."""
         number = next(self.request_numbers)
-        self.connections.remove_idle(side)
-        self.clients[number] = side
-        self.request_log.record("arrived", side.request_id)
+        self.connections.remove_idle(client)
+        self.clients[number] = client
+        self.request_log.record("arrived", client.request_id)
         return number
 
     def answer_deadline(self, opening: OpenRequest) -> float:
-        """When its answer is due. One that stood before the run has longer."""
+        """When the client must be answered at the latest. Resumed tunnels have longer."""
         if opening.current_server:
             return self.now() + INHERITED_TIMEOUT_SECONDS
         longest = self.reducer.max_client_timeout
@@ -153,56 +156,60 @@
         )
 
     def request_id(self, client: int) -> str:
-        """For the log."""
+        """The id of a client's request for the log; "-" once the client has gone."""
         return self.clients[client].request_id if client in self.clients else "-"
 
-    def client_accepted(self, side: ClientConnection) -> None:
-        """Guards against clients that hold descriptors and say nothing: the oldest make room for others."""
-        self.connections.add_idle(side)
-        door = len(self.connections.idle) + len(self.connections.lingering)
-        held = door + len(self.clients) + len(self.servers) + len(self.probes)
-        if held > self.descriptor_budget:
+    def client_accepted(self, connection: ClientConnection) -> None:
+        """Guards against clients that hold descriptors and send nothing: the oldest are closed for others."""
+        self.connections.add_idle(connection)
+        without_request = len(self.connections.idle) + len(self.connections.lingering)
+        open_count = without_request + len(self.clients) + len(self.servers) + len(self.probes)
+        if open_count > self.descriptor_budget:
             self._free_descriptor()
 
     def _free_descriptor(self) -> None:
-        """Frees a descriptor for a client: an idle probe's first, then that of one that says nothing."""
+        """Closes an idle probe connection, or else a lingering or idle client connection."""
         if not self.probes.close_idle() and self.connections.evict_one() is not None:
             self.count_refusal("no descriptors", "others need its descriptor")
 
     def count_refusal(self, kind: str, why: object) -> None:
+        """Counts refused input or a refused connection for the state line; `why` goes to the debug log."""
         self.refusals[kind] += 1
         _log.debug("refused", extra={"fields": {"kind": kind, "why": why}})
 
-    def remove_client(self, side: ClientConnection) -> None:
-        self.connections.remove(side)
-        self.clients.pop(side.number, None)
+    def remove_client(self, client: ClientConnection) -> None:
+        self.connections.remove(client)
+        self.clients.pop(client.number, None)
 
     async def serve(self) -> None:
-        for name in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(name, self.stop)
+        """Serves until a stop has finished. Raises OSError where the address can't be bound."""
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(signal_number, self.stop)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         self._execute_all(self.reducer.pop_effects())
-        if early_signals.pop_sighup():  # it came after the file was read, or may have
+        if early_signals.pop_sighup():  # a SIGHUP may have come after the file was read
             self.reload()
-        if self.reducer.list_is_pushed:  # rule 3: what the agent has counts as told from the first moment
+        if self.reducer.list_is_pushed:  # rule 3: the agent's list holds from the first moment
             await self.discovery_answered
         await self._listen()
         self.timeout_check.start()
         self.state_log.run()
-        on = ":".join(str(part) for part in self.start_up.listen)
-        about = {"name": self.start_up.name, "on": on, "descriptors": self.descriptor_limit}
-        _log.info("serving", extra={"fields": about})
+        address = ":".join(str(part) for part in self.start_up.listen)
+        fields = {"name": self.start_up.name, "on": address, "descriptors": self.descriptor_limit}
+        _log.info("serving", extra={"fields": fields})
         if self.snapshots is not None:
             self.snapshots.start(self.reducer, self.loop, self.now)
         if self.cluster is not None:
             await self.cluster.start(self.reducer, self.loop, self.start_up.seed)
         if self.recovery is not None:
-            voice = self.cluster.transport if self.cluster is not None else None
-            await self.recovery.start(self.reducer, self.loop, self.now, self.start_up.seed, voice)
+            transport = self.cluster.transport if self.cluster is not None else None
+            await self.recovery.start(self.reducer, self.loop, self.now, self.start_up.seed, transport)
         await self.ended
-        self._stop_periodic()
+        self._stop_timers()
         self.connections.stop_listening(force=True)
-        unanswered = sum(side.lifecycle.state is ConnectionState.REQUESTED for side in self.clients.values())
+        unanswered = sum(
+            client.lifecycle.state is ConnectionState.REQUESTED for client in self.clients.values()
+        )
         if unanswered:
             violations["closed_without_answer"] += unanswered
             _log.error("closed without answer", extra={"fields": {"requests": unanswered}})
@@ -215,38 +222,41 @@
             await self.snapshots.stop()
 
     async def _listen(self) -> None:
-        """Raises OSError where the address stays taken, as by the process before or by a connection."""
-        until = self.now() + BIND_TIMEOUT
+        """Retries while the address is in use, as by the previous process or by an outgoing connection.
+
+        Raises OSError once BIND_TIMEOUT is over.
+        """
+        deadline = self.now() + BIND_TIMEOUT
         while True:
             try:
                 self.connections.listen(
                     self.start_up.listen, lambda: ClientConnection(self), self._free_descriptor
                 )
                 return
-            except OSError as fault:
-                if self.now() >= until or self.stopping:
+            except OSError as error:
+                if self.now() >= deadline or self.stopping:
                     raise
-                _log.warning("no address yet", extra={"fields": {"why": fault}})
+                _log.warning("bind failed", extra={"fields": {"why": error}})
             await asyncio.sleep(BIND_RETRY_DELAY)
 
-    def _check_exit(self, until: float) -> None:
-        """The last steps: ends once all clients' connections have ended, or when the time is over."""
-        over = self.now() >= until
-        if (self.connections.close_remaining(self.now(), over) and not self.clients) or over:
+    def _check_exit(self, deadline: float) -> None:
+        """Ends the process once all clients' connections have closed, or at the deadline."""
+        expired = self.now() >= deadline
+        if (self.connections.close_remaining(self.now(), expired) and not self.clients) or expired:
             self._set_ended()
 
-    def _stop_periodic(self) -> None:
-        for periodic in (self.timeout_check, self.state_log, self.exit_check):
-            if periodic is not None:
-                periodic.stop()
+    def _stop_timers(self) -> None:
+        for timer in (self.timeout_check, self.state_log, self.exit_check):
+            if timer is not None:
+                timer.stop()
 
     def _force_end(self) -> None:
-        """The stop's own steps have not ended it in their time: who waits is answered, and it ends."""
+        """Ends a stop that has exceeded its time limit; clients that still wait are answered first."""
         if self.ended.done():
             return
         violations["stop_not_ended"] += 1
-        for side in list(self.clients.values()):
-            side.fail()
+        for client in list(self.clients.values()):
+            client.fail()
         self.loop.call_later(EXIT_CHECK_INTERVAL, self._set_ended)
 
     def _set_ended(self) -> None:
@@ -254,18 +264,17 @@
             self.ended.set_result(None)
 
     def stop(self) -> None:
+        """Begins an orderly stop; `serve` returns when it is finished. Later calls do nothing."""
         if not self.stopping:
             self.stopping = True
             _log.info("stopping", extra={"fields": {"clients": len(self.clients)} | self.reducer.figures()})
-            if (
-                not self.discovery_answered.done()
-            ):  # a start that waits for the list goes on, and so to its end
+            if not self.discovery_answered.done():  # `serve` may still be waiting for the list
                 self.discovery_answered.set_result(None)
             self.loop.call_later(self.reducer.stop_time_limit + EXIT_CHECK_INTERVAL, self._force_end)
             self.submit(StopRequested())
 
     def reload(self) -> None:
-        """Takes over what has changed in the files; what can't be read changes nothing."""
+        """Reads the operators' and the start-up file again; a file that can't be read changes nothing."""
         if self.stopping:
             return
         self.reload_count += 1
@@ -275,24 +284,24 @@
                 self.cluster.reload(self.operator_file.settings.tier)
         self._read_start_up(self.reload_count, MAX_REREADS)
 
-    def _read_start_up(self, reread: int, tries: int) -> None:
-        """A file that is refused may still be being written: it is read again, until the next signal."""
-        if self.stopping or reread != self.reload_count:
+    def _read_start_up(self, reload_number: int, tries: int) -> None:
+        """Reads an invalid file again, as it may still be being written; gives up at the next reload."""
+        if self.stopping or reload_number != self.reload_count:
             return
         try:
-            told = self.read_settings()
-        except (OSError, Malformed) as fault:
-            _log.error("reload refused", extra={"fields": {"why": fault, "tries_left": tries}})
+            start_up = self.read_settings()
+        except (OSError, Malformed) as error:
+            _log.error("reload failed", extra={"fields": {"why": error, "tries_left": tries}})
             if tries:
-                self.loop.call_later(REREAD_DELAY, self._read_start_up, reread, tries - 1)
+                self.loop.call_later(REREAD_DELAY, self._read_start_up, reload_number, tries - 1)
             return
         fixed = ("name", "listen", "site")
-        restart = [name for name in fixed if getattr(told, name) != getattr(self.start_up, name)]
-        _log.info("reloaded", extra={"fields": {"need_restart": ",".join(restart) or "-"}})
-        self.submit(SettingsReloaded(told.discovery, told.names))
+        need_restart = [name for name in fixed if getattr(start_up, name) != getattr(self.start_up, name)]
+        _log.info("reloaded", extra={"fields": {"need_restart": ",".join(need_restart) or "-"}})
+        self.submit(SettingsReloaded(start_up.discovery, start_up.names))
 
     def submit(self, event: Event) -> None:
-        """What is fed while effects are carried out waits for its turn."""
+        """Processes an event, or queues it where it arises while another one is being processed."""
         self.event_queue.append(event)
         if self.processing:
             return
@@ -309,9 +318,9 @@
         except Exception:
             count_exception("event_failed", type(event).__name__)
             requested = self.reducer.pop_effects()
-            if isinstance(event, StopRequested):  # guards the stop, which no other event brings on
+            if isinstance(event, StopRequested):  # no other event would start the stop again
                 self.loop.call_later(STOP_RETRY_DELAY, self.submit, StopRequested())
-            # Guards rule 1: whatever went wrong, the client gets an answer, and what was begun for it ends.
+            # Guards rule 1: the client is answered, or its tunnel broken, and its setups are ended.
             if (
                 isinstance(event, ClientArrived | SetupConnected | SetupOpened | SetupEnded)
                 and event.client in self.clients
@@ -320,8 +329,10 @@
                 self.clients[event.client].fail()
                 requested = []
                 self.event_queue.append(ClientLeft(event.client, False))
-                for side in [side for (client, _), side in self.servers.items() if client == event.client]:
-                    self.loop.call_soon(side.fail)
+                for server in [
+                    server for (client, _), server in self.servers.items() if client == event.client
+                ]:
+                    self.loop.call_soon(server.fail)
         if isinstance(event, ListReceived | ListRequestFailed) and not self.discovery_answered.done():
             self.discovery_answered.set_result(None)
         if _trace.isEnabledFor(logging.DEBUG):
@@ -334,7 +345,8 @@
                 self._execute(effect)
             except Exception:
                 count_exception("effect_failed", type(effect).__name__)
-                if isinstance(effect, effects.Connect):  # guards rule 1: nothing else would end this attempt
+                # Guards rule 1: no other event would end this attempt.
+                if isinstance(effect, effects.Connect):
                     self.servers.pop((effect.client, effect.setup), None)
                     self.event_queue.append(
                         SetupEnded(effect.client, effect.setup, EndLine("moot", {}), False)
@@ -349,11 +361,13 @@
     def _execute(self, effect: effects.Effect) -> None:
         match effect:
             case effects.Connect():
-                side = self.clients.get(effect.client)
-                if side is not None and not side.detect_disconnect():
-                    at = f"{effect.address[0]}:{effect.address[1]}"
-                    self.request_log.record("attempt", side.request_id, attempt=effect.setup, server=at)
-                    self.servers[effect.client, effect.setup] = ServerConnection(self, effect, side)
+                client = self.clients.get(effect.client)
+                if client is not None and not client.detect_disconnect():
+                    address = f"{effect.address[0]}:{effect.address[1]}"
+                    self.request_log.record(
+                        "attempt", client.request_id, attempt=effect.setup, server=address
+                    )
+                    self.servers[effect.client, effect.setup] = ServerConnection(self, effect, client)
             case effects.WriteRequest():
                 if (server := self._server(effect)) is not None:
                     self.request_log.record("sent", self.request_id(effect.client), attempt=effect.setup)
@@ -364,16 +378,16 @@
             case effects.RelayTunnel():
                 if (server := self._server(effect)) is not None:
                     self.request_log.record("served", self.request_id(effect.client), attempt=effect.setup)
-                    server.join()
+                    server.start_relay()
             case effects.Reply():
                 if effect.client in self.clients:
-                    how = "refused" if isinstance(effect.answer, Decline) else "failed"
-                    self.request_log.record(how, self.request_id(effect.client), effect.reason or "-")
+                    step = "refused" if isinstance(effect.answer, Decline) else "failed"
+                    self.request_log.record(step, self.request_id(effect.client), effect.reason or "-")
                     self.clients[effect.client].answer(effect.answer)
             case effects.CloseClient():
                 if effect.client in self.clients:
-                    how = "server_reset" if effect.reset else "server_ended"
-                    self.request_log.record("closed", self.request_id(effect.client), how)
+                    reason = "server_reset" if effect.reset else "server_ended"
+                    self.request_log.record("closed", self.request_id(effect.client), reason)
                     self.clients[effect.client].end(effect.reset)
             case effects.MigrateClient():
                 if effect.client in self.clients:
@@ -391,7 +405,7 @@
             case effects.RequestList():
                 self.discovery.request_list(effect)
             case effects.SetTimer():
-                if self.timer is not None:  # an earlier one takes its place
+                if self.timer is not None:  # at most one timer is pending
                     self.timer.cancel()
                 self.timer = self.loop.call_later(
                     max(effect.delay, CLOCK_RESOLUTION), self.submit, TimerDue()
@@ -403,39 +417,45 @@
             case effects.ExitProcess():
                 self._begin_exit(self.now() + effect.time_limit)
 
-    def _begin_exit(self, until: float) -> None:
+    def _begin_exit(self, deadline: float) -> None:
         if self.exit_check is None:
             self.exit_check = PeriodicTimer(
-                self.loop, "leave", lambda: EXIT_CHECK_INTERVAL, lambda: self._check_exit(until)
+                self.loop, "leave", lambda: EXIT_CHECK_INTERVAL, lambda: self._check_exit(deadline)
             )
             self.exit_check.run()
 
     def _check_timeouts(self) -> None:
+        """Handles overdue answers, servers that do not respond, and clients that send no request in time."""
         now = self.now()
-        for side in list(self.clients.values()):
+        for client in list(self.clients.values()):
             if (
-                side.lifecycle.state is ConnectionState.REQUESTED
-                and now > side.answer_deadline + ANSWER_SLACK
+                client.lifecycle.state is ConnectionState.REQUESTED
+                and now > client.answer_deadline + ANSWER_SLACK
             ):
-                self._answer_overdue(side, now)
+                self._answer_overdue(client, now)
         for server in list(self.servers.values()):
             server.check_inactivity(now)
-        for side in list(self.connections.idle):
-            # One whose line has come and was not read yet is not silent; one amid its line has longer.
-            within = self.partial_line_timeout if side.buffer else self.first_line_timeout
-            if now - side.accepted_at > within and not tcp.unread_bytes(side.transport):
-                side.refuse("silent", "expected a first line in time")
-
-    def _answer_overdue(self, side: ClientConnection, now: float) -> None:
-        """Guards rule 1 against whatever keeps the decisions from answering it."""
+        for idle in list(self.connections.idle):
+            # Unread bytes may be its line; one that has sent part of its line has more time.
+            timeout = self.partial_line_timeout if idle.buffer else self.first_line_timeout
+            if now - idle.accepted_at > timeout and not tcp.unread_bytes(idle.transport):
+                idle.refuse("silent", "no request in time")
+
+    def _answer_overdue(self, client: ClientConnection, now: float) -> None:
+        """Guards rule 1 where the reducer has not answered a client by its deadline."""
         violations["answer_overdue"] += 1
-        late = {"what": "answer_overdue", "request": side.request_id, "late": now - side.answer_deadline}
-        _log.error("broken", extra={"fields": late})
-        self.request_log.record("failed", side.request_id, "overdue")
-        self.submit(ClientLeft(side.number, False))
-        side.fail()
+        fields = {
+            "what": "answer_overdue",
+            "request": client.request_id,
+            "late": now - client.answer_deadline,
+        }
+        _log.error("broken", extra={"fields": fields})
+        self.request_log.record("failed", client.request_id, "overdue")
+        self.submit(ClientLeft(client.number, False))
+        client.fail()
 
     def _log_state(self) -> None:
+        """Logs the state line: the reducer's figures, and counts of refusals, requests and violations."""
         counts = dict(self.refusals) | dict(self.request_log.counts) | dict(violations)
         _log.info("state", extra={"fields": self.reducer.figures() | counts})
 
@@ -445,11 +465,11 @@
         ) or STATE_LOG_INTERVAL
 
 
-def _descriptor_limit(told: int) -> int:
-    """Descriptors that this process may hold, by what it was told and by its own limit."""
+def _descriptor_limit(configured: int) -> int:
+    """Descriptors that this process may hold: the configured number (0: none), or the system's if lower."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     limit = limit if limit > 0 else 2**20  # -1: no limit
-    return min(told or limit, limit)
+    return min(configured or limit, limit)
 
 
 def run(
--- a/pointgw/net/run/client.py
+++ b/pointgw/net/run/client.py
@@ -1,4 +1,4 @@
-"""A client's connection: its first line, its answer, and then its lines to the server."""
+"""A client's connection: its request, the answer, and then the lines that it sends to the server."""
 
 from __future__ import annotations
 
@@ -18,6 +18,8 @@
 
 
 class ClientConnection(asyncio.Protocol):
+    """One connection from a client, from accept to close."""
+
     __slots__ = (
         "accepted_at",
         "answer_deadline",
@@ -30,10 +32,10 @@
         "transport",
     )
 
-    def __init__(self, node: BalancerProcess) -> None:
-        self.process, self.accepted_at = node, node.now()
-        self.number = -1  # not given yet: no tunnel was asked for
-        self.request_id, self.answer_deadline = "-", 0.0  # its id; when it has to be answered at the latest
+    def __init__(self, process: BalancerProcess) -> None:
+        self.process, self.accepted_at = process, process.now()
+        self.number = -1  # assigned with its request
+        self.request_id, self.answer_deadline = "-", 0.0  # deadline: time in seconds
         self.lifecycle = ConnectionLifecycle(ConnectionState.IDLE)
         self.buffer = bytearray()
         self.server: ServerConnection | None = None
@@ -51,19 +53,19 @@
             case ConnectionState.IDLE | ConnectionState.REQUESTED:
                 self.buffer += data
                 self._read_first_line()
-            case ConnectionState.HALF_CLOSED:  # sent on, it would be lost: its answer could not be told
+            case ConnectionState.HALF_CLOSED:  # not forwarded: an answer could not reach the client
                 self.process.connections.count_discarded(self, len(data))
 
     def _read_first_line(self) -> None:
         try:
             if self.lifecycle.state is ConnectionState.REQUESTED:
-                raise Malformed("expected nothing before the answer")
+                raise Malformed("data received before the answer was sent")
             line = lines.pop_line(self.buffer)
             if line is None:
                 return
             message = lines.parse_client_line(line)
             if self.buffer:
-                raise Malformed("expected one line, then nothing before the answer")
+                raise Malformed("data received after the first line, before the answer was sent")
             if isinstance(message, lines.Ping):
                 self.transport.write((lines.ERR if self.process.stopping else lines.PONG) + lines.LINE_END)
             else:
@@ -71,11 +73,11 @@
                 self.request_id, self.answer_deadline = message.name, self.process.answer_deadline(message)
                 self.number = self.process.register_request(self)
                 self.process.submit(ClientArrived(self.number, message))
-        except Malformed as fault:
-            self.refuse("malformed", fault)
+        except Malformed as error:
+            self.refuse("malformed", error)
 
     def refuse(self, kind: str, why: object) -> None:
-        """Answers what can't be served with an error; a setup that is out is given up."""
+        """Answers what can't be served with an error, and ends its tunnel's setups."""
         self.process.count_refusal(kind, why)
         if self.lifecycle.state is ConnectionState.REQUESTED:
             self.process.request_log.record("failed", self.request_id, kind)
@@ -83,26 +85,26 @@
         self.answer(lines.Failure())
 
     def answer(self, answer: lines.Answer) -> None:
-        """The final answer to a client that was not opened."""
+        """Sends the final answer to a client whose tunnel was not opened."""
         if self.lifecycle.state in (ConnectionState.IDLE, ConnectionState.REQUESTED):
             self._send_last_line(lines.encode_answer(answer))
 
-    def join(self, server: ServerConnection, first: bytes) -> bool:
-        """The server's answer, and from now on its lines; False: the client has left or was answered."""
+    def start_relay(self, server: ServerConnection, up_line: bytes) -> bool:
+        """Sends the server's UP line and starts relaying. False: the client has left or was answered."""
         if self.lifecycle.state is not ConnectionState.REQUESTED:
             return False
         self.lifecycle.transition_to(ConnectionState.RELAYING)
         self.server = server
-        self.transport.write(first)
+        self.transport.write(up_line)
         return True
 
-    def send_lines(self, whole: bytes) -> None:
-        """Whole lines of its server."""
+    def send_lines(self, data: bytes) -> None:
+        """Sends whole lines of its server."""
         if self.lifecycle.state is ConnectionState.RELAYING:
-            self.transport.write(whole)
+            self.transport.write(data)
 
     def send_move(self) -> None:
-        """Only whole lines were written, so this stands between two."""
+        """Sends MOVE and closes. Only whole lines were written before, so it can't split one."""
         if self.lifecycle.state is ConnectionState.RELAYING:
             self._send_last_line(lines.MOVE + lines.LINE_END)
 
@@ -111,7 +113,7 @@
         self.end()
 
     def end(self, reset: bool = False) -> None:
-        """In the way its server did, or after its last line."""
+        """Closes the connection: with a reset as its server's was, or in order after the last line."""
         if self.lifecycle.is_closing:
             return
         self.server = None
@@ -123,14 +125,14 @@
             self.process.connections.linger(self, self.transport)
 
     def fail(self) -> None:
-        """Something of ours went wrong: an error to one that waits, a break to one that is open."""
+        """Ends it after an internal error: a waiting client gets an error, an open tunnel a reset."""
         if self.lifecycle.state is ConnectionState.RELAYING:
             self.end(reset=True)
         else:
             self.answer(lines.Failure())
 
     def evict(self) -> None:
-        """Its descriptor is needed for clients that do speak."""
+        """Declines and closes it, as its descriptor is needed for other clients."""
         if not self.lifecycle.is_closing:
             self.lifecycle.transition_to(ConnectionState.CLOSED)
             tcp.write_and_close(self.transport, lines.encode_answer(lines.Decline(0.0)))
@@ -145,7 +147,7 @@
 
     def eof_received(self) -> None:
         if self.lifecycle.state is ConnectionState.IDLE and self.buffer:
-            self.refuse("malformed", "expected the end of the first line")
+            self.refuse("malformed", "connection ended within the first line")
         self._disconnected(False)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -155,20 +157,20 @@
         self.process.remove_client(self)
 
     def detect_disconnect(self) -> bool:
-        """Looks at its socket before something is begun for it: whether it has left, and nobody has read that
-        yet, as the loop is late or its end waits behind other events."""
-        found = 0 if self.lifecycle.is_closing else tcp.peer_close_events(self.transport)
-        if found:
-            self._disconnected(bool(found & (select.POLLERR | select.POLLHUP)))
-        return bool(found)
+        """Asks the socket whether the client has left, before work is started for it. The event loop may not
+        have reported it yet, where it is late or other events come first."""
+        events = 0 if self.lifecycle.is_closing else tcp.peer_close_events(self.transport)
+        if events:
+            self._disconnected(bool(events & (select.POLLERR | select.POLLHUP)))
+        return bool(events)
 
     def _disconnected(self, reset: bool) -> None:
-        """The client has ended it. What it asked for and is not sent yet is not sent any more."""
+        """The client has closed the connection: its request, if not sent to a server yet, is dropped."""
         if not self.lifecycle.is_closing:
-            asked = self.lifecycle.state is not ConnectionState.IDLE
+            had_request = self.lifecycle.state is not ConnectionState.IDLE
             self.lifecycle.transition_to(ConnectionState.CLOSED)
             self.server = None
-            if asked:
+            if had_request:
                 self.process.request_log.record(
                     "client_left", self.request_id, "reset" if reset else "closed"
                 )
--- a/pointgw/net/run/server.py
+++ b/pointgw/net/run/server.py
@@ -1,4 +1,4 @@
-"""A tunnel's connection to its server: the setup, and then the server's lines to the client."""
+"""A tunnel's connection to its server: the setup, and then the lines that the server sends to the client."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One setup on a connection of its own. Its request is written by `write` alone, which the reducer asks
-    for once the connection is up; until then nothing was sent, and it can be dropped at any time.
+    """One setup on a connection of its own. Only `write_request` writes the request, once the reducer has
+    been told that the connection is up; before that nothing was sent, and the setup can be dropped safely.
     """
 
     __slots__ = (
@@ -28,29 +28,30 @@
         "transport", "unanswered_since", "up_line",
     )  # fmt: skip
 
-    def __init__(self, node: BalancerProcess, asked: Connect, client: ClientConnection) -> None:
-        self.process, self.attempt, self.client = node, asked, client
+    def __init__(self, process: BalancerProcess, attempt: Connect, client: ClientConnection) -> None:
+        self.process, self.attempt, self.client = process, attempt, client
         self.lifecycle = ConnectionLifecycle(ConnectionState.CONNECTING)
-        self.buffer = bytearray()  # what came after the last whole line
-        self.end_line: lines.EndLine | None = None  # how the server said that it ends
+        self.buffer = bytearray()  # received after the last whole line
+        self.end_line: lines.EndLine | None = None  # the last line of a server that closes in order
         self.transport: asyncio.Transport | None = None
         self.up_line: lines.Up | None = None
-        self.unanswered_since: float | None = None  # since when the client's lines have brought nothing back
-        self.deadline = node.now() + asked.delay + asked.timeout  # the loop's clock is old when it is busy
-        dialled = asked.delay + min(asked.connect_timeout, asked.timeout)
-        self.timer = node.loop.call_later(dialled, self._timed_out)
-        self.task = node.loop.create_task(self._connect())
+        self.unanswered_since: float | None = None  # when client data was first left without a reply
+        # Not by the loop's clock, which lags while the loop is busy.
+        self.deadline = process.now() + attempt.delay + attempt.timeout
+        connect_limit = attempt.delay + min(attempt.connect_timeout, attempt.timeout)
+        self.timer = process.loop.call_later(connect_limit, self._timed_out)
+        self.task = process.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
         try:
             if self.attempt.delay:
                 await asyncio.sleep(self.attempt.delay)
             await self.process.loop.create_connection(lambda: self, *self.attempt.address)
-        except OSError as fault:
+        except OSError as error:
             if self.lifecycle.state is ConnectionState.CONNECTING:
                 self._end(
                     self.process.route_evidence.failure_ending(
-                        fault, self.attempt.address, self.process.now()
+                        error, self.attempt.address, self.process.now()
                     )
                 )
 
@@ -58,22 +59,22 @@
         self.transport = cast(asyncio.Transport, transport)
         self.process.route_evidence.record_connected(self.attempt.address, self.process.now())
         if self.lifecycle.state is not ConnectionState.CONNECTING:
-            self.transport.abort()  # given up while it came up
+            self.transport.abort()  # abandoned while connecting
             return
         self.transport.set_write_buffer_limits(tcp.BUFFER_LIMIT)
-        if not self.client.detect_disconnect():  # else its end was fed, and this is dropped by it
+        if not self.client.detect_disconnect():  # otherwise its ClientLeft ends this setup
             self.process.submit(SetupConnected(self.attempt.client, self.attempt.setup))
 
     def write_request(self) -> None:
-        """The request. Its `d` is what is left now of the time that this balancer waits."""
+        """Writes the request. Its `d` is the time that remains of this setup's timeout."""
         if self.lifecycle.state is not ConnectionState.CONNECTING or self.transport is None:
             return
-        left = self.deadline - self.process.now()
+        remaining = self.deadline - self.process.now()
         self.timer.cancel()
-        self.timer = self.process.loop.call_later(left, self._timed_out)
+        self.timer = self.process.loop.call_later(remaining, self._timed_out)
         self.lifecycle.transition_to(ConnectionState.REQUEST_SENT)
-        told = None if self.attempt.remaining_time is None else left
-        self.transport.write(lines.encode_open_request(self.attempt.request, told))
+        sent_remaining = None if self.attempt.remaining_time is None else remaining
+        self.transport.write(lines.encode_open_request(self.attempt.request, sent_remaining))
 
     def data_received(self, data: bytes) -> None:
         if self.lifecycle.is_closing:
@@ -87,7 +88,7 @@
                 self._end("error")
         if self.lifecycle.state is ConnectionState.RELAYING:
             self._forward_lines()
-        elif len(self.buffer) > tcp.BUFFER_LIMIT:  # guards memory where its client was not joined
+        elif len(self.buffer) > tcp.BUFFER_LIMIT:  # limits memory before relaying starts
             self._end(self.lifecycle.disconnect_ending())
 
     def _read_first_line(self) -> None:
@@ -108,19 +109,19 @@
                 self._end("error")
 
     def _forward_lines(self) -> None:
-        """Passes whole lines on; what they say to the balancer is read on the way."""
-        at = self.buffer.rfind(b"\n") + 1
-        if not at:
+        """Forwards whole lines to the client, and reads those that are meant for the balancer."""
+        end = self.buffer.rfind(b"\n") + 1
+        if not end:
             if len(self.buffer) > lines.MAX_LINE_BYTES:
                 self._end("reset")
             return
-        whole = bytes(self.buffer[:at])
-        del self.buffer[:at]
+        whole_lines = bytes(self.buffer[:end])
+        del self.buffer[:end]
         if self.unanswered_since is not None:
-            span, self.unanswered_since = self.process.now() - self.unanswered_since, None
-            if span > self.process.slow_threshold:
-                self.process.submit(ServerSlow(self.attempt.client, span, False))
-        for line in whole.split(b"\n"):
+            elapsed, self.unanswered_since = self.process.now() - self.unanswered_since, None
+            if elapsed > self.process.slow_threshold:
+                self.process.submit(ServerSlow(self.attempt.client, elapsed, False))
+        for line in whole_lines.split(b"\n"):
             if line[:1] in (b"L", b"B", b"M"):
                 message = lines.parse_server_line(line.removesuffix(b"\r"))
                 if isinstance(message, lines.Load):
@@ -128,21 +129,23 @@
                 elif isinstance(message, lines.EndLine) and message.ending in ("ok", "cancelled"):
                     self.end_line = message
         if self.lifecycle.state is ConnectionState.RELAYING:
-            self.client.send_lines(whole)
+            self.client.send_lines(whole_lines)
 
-    def join(self) -> None:
+    def start_relay(self) -> None:
+        """Sends the UP line to the client, and relays from now on unless the client has left."""
         assert self.up_line is not None
-        if self.client.join(self, self.up_line.line):
+        if self.client.start_relay(self, self.up_line.line):
             self.lifecycle.transition_to(ConnectionState.RELAYING)
 
     def forward(self, data: bytes) -> None:
+        """Sends the client's data to the server."""
         if self.transport is not None and self.lifecycle.state is ConnectionState.RELAYING:
             self.transport.write(data)
             if self.unanswered_since is None:
                 self.unanswered_since = self.process.now()
 
     def pause_reading(self) -> None:
-        """Its client is slow to read: not read itself meanwhile, and not taken to be silent."""
+        """Stops reading while the client is slow to read; the server does not count as silent meanwhile."""
         self.unanswered_since = None
         tcp.pause_reading(self.transport)
 
@@ -150,33 +153,33 @@
         tcp.resume_reading(self.transport)
 
     def check_inactivity(self, now: float) -> None:
-        """By the clock: a server that has brought nothing back for long may be gone."""
+        """Reports a server that has sent nothing for too long since the client's data: it may be gone."""
         if self.unanswered_since is not None and now - self.unanswered_since > self.process.slow_threshold:
             self.process.submit(ServerSlow(self.attempt.client, now - self.unanswered_since, True))
 
     def close(self, reset: bool) -> None:
-        """Given up, or its client has gone."""
+        """Closes it without an event, as the setup was abandoned or the client has left."""
         if self.lifecycle.is_closing:
             return
-        joined = self.lifecycle.state is ConnectionState.RELAYING
+        relaying = self.lifecycle.state is ConnectionState.RELAYING
         self._enter_final_state(
-            ConnectionState.HALF_CLOSED if joined and not reset else ConnectionState.CLOSED
+            ConnectionState.HALF_CLOSED if relaying and not reset else ConnectionState.CLOSED
         )
         if self.transport is None:
             return
         if reset:
             tcp.abort_with_reset(self.transport)
-        elif joined:
+        elif relaying:
             self.process.connections.linger(self, self.transport)
         else:
             self.transport.abort()
 
     def fail(self) -> None:
-        """Whatever it was for went wrong: its end is reported as if its connection had broken."""
+        """Ends it after an internal error, and reports that as if the connection had broken."""
         self._end(self.lifecycle.disconnect_ending())
 
-    def _enter_final_state(self, stage: ConnectionState) -> None:
-        self.lifecycle.transition_to(stage)
+    def _enter_final_state(self, state: ConnectionState) -> None:
+        self.lifecycle.transition_to(state)
         self.timer.cancel()
         if self.transport is None:
             self.task.cancel()
@@ -188,17 +191,17 @@
     def _end(self, ending: Ending, reset: bool = False) -> None:
         if self.lifecycle.is_closing:
             return
-        closing = self.end_line or lines.EndLine(ending, {})
-        if closing.has_invalid_report:
-            self.process.count_refusal("bad report", closing.ending)
+        end_line = self.end_line or lines.EndLine(ending, {})
+        if end_line.has_invalid_report:
+            self.process.count_refusal("bad report", end_line.ending)
         self._enter_final_state(ConnectionState.CLOSED)
         if self.transport is not None:
             self.transport.abort()
-        # One that said how it ends has ended in order, however its connection broke then.
+        # A server that has sent its last line has ended in order, even if its connection was then reset.
         reset = reset and self.end_line is None
-        told = {"attempt": self.attempt.setup}
-        self.process.request_log.record("attempt_ended", self.client.request_id, closing.ending, **told)
-        self.process.submit(SetupEnded(self.attempt.client, self.attempt.setup, closing, reset))
+        fields = {"attempt": self.attempt.setup}
+        self.process.request_log.record("attempt_ended", self.client.request_id, end_line.ending, **fields)
+        self.process.submit(SetupEnded(self.attempt.client, self.attempt.setup, end_line, reset))
 
     def pause_writing(self) -> None:
         if self.lifecycle.state is ConnectionState.RELAYING:
--- a/tests/crossing/test_idle.py
+++ b/tests/crossing/test_idle.py
@@ -130,11 +130,11 @@
         await until(lambda: len(node.connections.idle) == 1)
         came = node.client_accepted
 
-        def hold(side: Any) -> None:
+        def hold(connection: Any) -> None:
             os.write(client.sock.fileno(), opening())
             node.descriptor_budget = 0
             node.client_accepted = came  # type: ignore[method-assign]
-            came(side)
+            came(connection)
             node.descriptor_budget = 500
 
         client.sock.setblocking(False)
