--- a/pointgw/net/run/__init__.py
+++ b/pointgw/net/run/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop, the sockets, the timers: carries out what the reducer asks for. It decides nothing."""
+"""Runs a balancer: start and stop, sockets, timers. Executes the reducer's effects and decides nothing."""
--- a/pointgw/net/run/client_connections.py
+++ b/pointgw/net/run/client_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections without a request: those that are idle, and those that are being closed."""
+"""Idle client connections, and client and server connections in lingering close."""
 
 from __future__ import annotations
 
@@ -15,16 +15,19 @@
 if TYPE_CHECKING:
     from pointgw.net.run.server import ServerConnection
 
-ACCEPT_GRACE = 0.1  # seconds in which the line of one that was just accepted may still come, at a stop
+ACCEPT_GRACE = 0.1  # seconds that a connection just accepted has for its request while the balancer stops
 
 
 class ClientConnections:
-    """`linger_within`: seconds that the other side has to end a connection after its last line."""
+    """The listener, the idle and the lingering connections.
+
+    `linger_timeout`: seconds that the peer has to close a connection after its last line.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, linger_timeout: float) -> None:
         self.loop, self.linger_timeout = loop, linger_timeout
-        self.idle: dict[ClientConnection, None] = {}  # those that have asked for no tunnel, oldest first
-        # Those that are ended in order, and whose other side has not ended them yet; oldest first.
+        self.idle: dict[ClientConnection, None] = {}  # without a request, oldest first
+        # Closed in order by this process and not yet by the peer, oldest first.
         self.lingering: dict[ClientConnection | ServerConnection, LingeringClose] = {}
         self.listener: Listener | None = None
 
@@ -36,64 +39,65 @@
         factory: Callable[[], ClientConnection],
         make_room: Callable[[], object],
     ) -> None:
-        """Raises OSError where the address can't be had."""
+        """Raises OSError where the address can't be bound."""
         self.listener = Listener(self.loop, factory, make_room)
         self.listener.open(address)
 
     def stop_listening(self, force: bool = False) -> bool:
-        """No connection is taken any more; False: some still wait, and there was no room for them."""
+        """Accepts what is pending and stops listening. False: descriptors ran out first; still listening."""
         return self.listener is None or self.listener.close(force)
 
     # Idle.
 
-    def add_idle(self, side: ClientConnection) -> None:
-        self.idle[side] = None
+    def add_idle(self, client: ClientConnection) -> None:
+        self.idle[client] = None
 
-    def remove_idle(self, side: ClientConnection) -> None:
-        self.idle.pop(side, None)
+    def remove_idle(self, client: ClientConnection) -> None:
+        self.idle.pop(client, None)
 
-    def remove(self, side: ClientConnection | ServerConnection) -> None:
-        """Its connection has ended."""
-        if isinstance(side, ClientConnection):
-            self.idle.pop(side, None)
-        if side in self.lingering:
-            self.lingering.pop(side).cancel_timer()
+    def remove(self, connection: ClientConnection | ServerConnection) -> None:
+        """Drops a connection that has closed."""
+        if isinstance(connection, ClientConnection):
+            self.idle.pop(connection, None)
+        if connection in self.lingering:
+            self.lingering.pop(connection).cancel_timer()
 
     def evict_one(self) -> ClientConnection | None:
-        """Gives up a connection for others: one that was answered and does not end, else the one that has
-        been idle longest, which is given. One whose line has come but was not read yet stays."""
+        """Closes a connection to free its descriptor: the oldest lingering one, or else the oldest idle one,
+        which is returned. An idle one with unread input stays, as its request may have come."""
         if self.lingering:
             next(iter(self.lingering.values())).transport.abort()
             return None
-        oldest = next((side for side in self.idle if not tcp.unread_bytes(side.transport)), None)
+        oldest = next((client for client in self.idle if not tcp.unread_bytes(client.transport)), None)
         if oldest is not None:
             del self.idle[oldest]
             oldest.evict()
         return oldest
 
-    def close_idle(self, now: float, age: float = 0.0) -> None:
-        """What has come on one is read and answered first. What crosses our end is not sent on, and the line
-        before that end tells its client that another try is harmless."""
-        for side in list(self.idle):
-            if now - side.accepted_at >= age and not tcp.unread_bytes(side.transport):
-                side.answer(Decline(0.0))
+    def close_idle(self, now: float, min_age: float = 0.0) -> None:
+        """Declines idle connections of at least `min_age` seconds, except those with unread input, which is
+        answered first. A request that crosses the decline is not forwarded, so its client may retry."""
+        for client in list(self.idle):
+            if now - client.accepted_at >= min_age and not tcp.unread_bytes(client.transport):
+                client.answer(Decline(0.0))
 
     # Closing.
 
-    def linger(self, side: ClientConnection | ServerConnection, transport: asyncio.Transport) -> None:
-        if isinstance(side, ClientConnection):
-            self.idle.pop(side, None)
+    def linger(self, connection: ClientConnection | ServerConnection, transport: asyncio.Transport) -> None:
+        """Begins the lingering close of a connection."""
+        if isinstance(connection, ClientConnection):
+            self.idle.pop(connection, None)
         if not transport.is_closing():
-            self.lingering[side] = LingeringClose(transport, self.loop, self.linger_timeout)
+            self.lingering[connection] = LingeringClose(transport, self.loop, self.linger_timeout)
 
-    def count_discarded(self, side: ClientConnection | ServerConnection, size: int) -> None:
-        """So many bytes came on one that is being ended."""
-        if side in self.lingering:
-            self.lingering[side].count_discarded(size)
+    def count_discarded(self, connection: ClientConnection | ServerConnection, size: int) -> None:
+        """Counts bytes received on a connection that is being closed."""
+        if connection in self.lingering:
+            self.lingering[connection].count_discarded(size)
 
-    def close_remaining(self, now: float, over: bool) -> bool:
-        """While the balancer leaves: whether nobody is left here. `over`: there is no more time."""
-        closed = self.stop_listening(force=over)
-        self.close_idle(now, 0.0 if over else ACCEPT_GRACE)
+    def close_remaining(self, now: float, expired: bool) -> bool:
+        """Closes idle connections before the process exits; True: none are left. `expired`: time is over."""
+        closed = self.stop_listening(force=expired)
+        self.close_idle(now, 0.0 if expired else ACCEPT_GRACE)
         connecting = self.listener is not None and self.listener.connecting
         return closed and not (self.idle or self.lingering or connecting)
--- a/pointgw/net/run/connection_state.py
+++ b/pointgw/net/run/connection_state.py
@@ -1,9 +1,8 @@
-"""A connection's life: its stages, and what each step says of the request on it. No I/O.
+"""States of client and server connections, and what each transition says of the request's delivery. No I/O.
 
-A client's connection rests until its line has come; then the tunnel is asked for, joined to its server's, and
-ended. A server's is dialled, written to, answered and joined. `ConnectionLifecycle.transition_to` is the
-one place where a stage changes; that the request was written is known from the step that writes it and from
-nothing else.
+A client's connection: idle, requested, relaying, closed. A server's: connecting, request sent, answered,
+relaying, closed. Only `ConnectionLifecycle.transition_to` changes a state. Whether a request may have run at
+the server follows only from the transition made as it is written.
 """
 
 from __future__ import annotations
@@ -14,20 +13,20 @@
 
 
 class ConnectionState(Enum):
-    """Where a connection stands."""
+    """State of a client's or a server's connection."""
 
-    IDLE = "idle"  # a client's: nothing was asked for
-    REQUESTED = "asked"  # a client's: its tunnel was asked for and is not answered
-    CONNECTING = "dialling"  # a server's: it is not up, or up and not a byte of the request was written
-    REQUEST_SENT = "written"  # a server's: the request was handed to the system
-    ANSWERED = "answered"  # a server's: it took the tunnel, and the client was not told yet
-    RELAYING = "joined"  # lines pass both ways
-    HALF_CLOSED = "half-closed"  # our last byte is on its way; what still comes is read and dropped
-    CLOSED = "ended"
+    IDLE = "idle"  # client: no request has come
+    REQUESTED = "requested"  # client: its request has come and is not answered
+    CONNECTING = "connecting"  # server: not up yet, or up without any byte of the request written
+    REQUEST_SENT = "request sent"  # server: the request was handed to the operating system
+    ANSWERED = "answered"  # server: it has opened the tunnel, and the client was not answered yet
+    RELAYING = "relaying"  # lines pass both ways
+    HALF_CLOSED = "half-closed"  # the last line and our end were sent; what is still received is discarded
+    CLOSED = "closed"
 
 
 class DeliveryState(Enum):
-    """What is known of the request on a server's connection."""
+    """Whether the request on a server's connection may have had an effect there."""
 
     NOT_SENT = "not sent"
     MAY_HAVE_RUN = "may have run"
@@ -56,7 +55,7 @@
 
 
 class ConnectionLifecycle:
-    """The stage of one connection, and what is known of the request on it."""
+    """The state of one connection, and of the delivery of the request on it."""
 
     __slots__ = ("delivery", "state")
 
@@ -64,20 +63,20 @@
         self.state, self.delivery = initial, DeliveryState.NOT_SENT
 
     def transition_to(self, target: ConnectionState) -> None:
-        """Raises ValueError on a step that there is not."""
+        """Raises ValueError where there is no such transition."""
         if target not in TRANSITIONS[self.state]:
-            raise ValueError(f"a connection that is {self.state.value} cannot become {target.value}")
+            raise ValueError(f"connection state {self.state.value} cannot become {target.value}")
         self.state, self.delivery = target, DELIVERY_AFTER.get(target, self.delivery)
 
     @property
     def is_closing(self) -> bool:
-        """Nothing is said on it any more, and nothing that is read on it counts."""
+        """Nothing more is written to it, and what is read is discarded."""
         return self.state in CLOSING_STATES
 
     def timeout_ending(self) -> Ending:
-        """How a setup ends whose time is over."""
+        """The ending of a setup that exceeds its timeout."""
         return "no-connection" if self.delivery is DeliveryState.NOT_SENT else "timeout"
 
     def disconnect_ending(self) -> Ending:
-        """How a setup ends whose connection is gone, where the server has not said why."""
+        """The ending of a setup whose connection breaks without a last line from the server."""
         return "no-connection" if self.delivery is DeliveryState.NOT_SENT else "reset"
--- a/pointgw/net/run/lingering_close.py
+++ b/pointgw/net/run/lingering_close.py
@@ -1,4 +1,4 @@
-"""Ends a connection in order, and reads and drops what the other side still says meanwhile."""
+"""Lingering close: closes a connection in order while discarding what the peer still sends."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 from pointgw.net.run import tcp
 
-DEFAULT_TIMEOUT = 0.25  # seconds for the other side to end it, where nothing else is said
-FLOOD_READ_INTERVAL = 0.01  # seconds between two buffers of a flood that is read and dropped
+DEFAULT_TIMEOUT = 0.25  # seconds that the peer has to close its side, unless given otherwise
+FLOOD_READ_INTERVAL = 0.01  # seconds between two buffers of a flood that is discarded
 
 
 class LingeringClose:
-    """What was written goes out, then our end; what the other side still says is read and dropped until it
-    ends too. By force once `within` seconds are over.
+    """Sends what is buffered and an EOF, then discards input until the peer closes too. Aborts the connection
+    after `timeout` seconds.
 
-    Closing at once with something unread resets the connection, and the last line may be lost with it. A
-    flood is read at a bounded pace: it costs little, and its sender still reads its answer.
+    Closing at once with unread input resets the connection, and the peer may lose the last line. A flood is
+    read at a limited rate: that costs little CPU, and its sender still reads its answer.
     """
 
     __slots__ = ("discarded_bytes", "loop", "timer", "transport")
@@ -28,7 +28,7 @@
             transport.write_eof()
 
     def count_discarded(self, size: int) -> None:
-        """So many bytes have come and were dropped."""
+        """Counts received bytes that were discarded, and limits their rate."""
         self.discarded_bytes += size
         if self.discarded_bytes > tcp.BUFFER_LIMIT:
             self.discarded_bytes = 0
@@ -36,10 +36,11 @@
             self.loop.call_later(FLOOD_READ_INTERVAL, tcp.resume_reading, self.transport)
 
     def cancel_timer(self) -> None:
+        """For a connection that has closed before its timeout."""
         self.timer.cancel()
 
 
 def close_gracefully(transport: asyncio.Transport, timeout: float = DEFAULT_TIMEOUT) -> None:
-    """Ends it in order, where nobody counts what still comes. `within`: seconds."""
+    """Closes in order, for a caller that does not count discarded input. `timeout`: seconds."""
     if not transport.is_closing():
         LingeringClose(transport, asyncio.get_running_loop(), timeout)
--- a/pointgw/net/run/link.py
+++ b/pointgw/net/run/link.py
@@ -1,4 +1,4 @@
-"""A connection that its owner dials and keeps, one call at a time on it: probes and calls to discovery."""
+"""A kept connection for one call at a time, opened by its owner: probes and calls to discovery."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 
 class LinkOwner(Protocol):
-    """Who dials. What happens to another connection than its `link` does not count."""
+    """Opens and uses a link. Events on any connection but its current `link` are ignored."""
 
     @property
     def link(self) -> Link | None: ...
 
     def on_connected(self) -> None:
-        """The link is up, and nothing was written to it."""
+        """The link is up, and nothing was written to it yet."""
 
     def on_data(self, data: bytes) -> None: ...
 
     def on_lost(self) -> None:
-        """The link has ended, and not by `close`."""
+        """The link has ended, and not by the owner's `close`."""
 
 
 class Link(asyncio.Protocol):
-    """One connection, never reused for the next."""
+    """One connection; the object is not reused for the next one."""
 
     __slots__ = ("owner", "transport")
 
@@ -39,10 +39,10 @@
         if self.owner.link is self:
             self.owner.on_connected()
         else:
-            self.transport.abort()  # a dial that was given up, and came up all the same
+            self.transport.abort()  # connected after its owner had given it up
 
     def send(self, data: bytes) -> None:
-        """Before it is up nothing goes out: `up` sees to that then."""
+        """Does nothing before the link is up; the owner's `on_connected` sends then."""
         if self.transport is not None:
             self.transport.write(data)
 
--- a/pointgw/net/run/listener.py
+++ b/pointgw/net/run/listener.py
@@ -1,6 +1,6 @@
-"""Takes clients' connections, and leaves those it can't take yet in the backlog.
+"""Accepts clients' connections, and leaves those that can't be accepted yet in the backlog.
 
-The event loop's own accept is not used: on a lack of descriptors it closes all connections that wait.
+The event loop's own accept is not used: when descriptors run out it closes all pending connections.
 """
 
 from __future__ import annotations
@@ -11,17 +11,20 @@
 import socket
 from collections.abc import Callable
 
-BACKLOG = 1024  # connections that may wait in the system
-ACCEPT_BATCH = 64  # connections taken in one turn of the loop, so that room can be made between them
-RETRY_DELAY = 0.01  # seconds until the next try where the system has no room
-# A lack of ours: the connection still waits and can be taken later.
+BACKLOG = 1024  # pending connections in the operating system
+ACCEPT_BATCH = 64  # connections accepted in one loop iteration, so that descriptors can be freed in between
+RETRY_DELAY = 0.01  # seconds until the next accept after one failed for lack of resources
+# Resources are lacking: the connection stays pending and can be accepted later.
 RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 _log = logging.getLogger("pointgw.listener")
 
 
 class Listener:
-    """One listening socket. `factory` makes the protocol of a connection, `make_room` frees a descriptor."""
+    """One listening socket.
+
+    `factory` makes the protocol of a connection; `free_descriptor` closes some connection to make room.
+    """
 
     def __init__(
         self,
@@ -32,11 +35,11 @@
         self.loop, self.factory, self.free_descriptor = loop, factory, free_descriptor
         self.socket: socket.socket | None = None
         self.retry_timer: asyncio.TimerHandle | None = None
-        self.connecting: set[asyncio.Task[None]] = set()  # taken, and not yet made into transports
-        self.failures = 0  # calls of accept that failed by a lack of ours
+        self.connecting: set[asyncio.Task[None]] = set()  # accepted, without a transport yet
+        self.failures = 0  # accept calls that failed for lack of resources
 
     def open(self, address: tuple[str, int]) -> None:
-        """Raises OSError where the address can't be had."""
+        """Raises OSError where the address can't be bound."""
         self.socket = socket.create_server(address, backlog=BACKLOG)
         self.socket.setblocking(False)
         self.loop.add_reader(self.socket.fileno(), self._readable)
@@ -46,7 +49,7 @@
             self._pause()
 
     def _accept(self, limit: int = ACCEPT_BATCH) -> bool:
-        """Takes connections that wait; False: the system has no room for the next one, or each try failed."""
+        """Accepts pending connections. False: resources are lacking for the next, or every call failed."""
         failed = 0
         for _ in range(limit):
             if self.socket is None:
@@ -55,11 +58,11 @@
                 connection, _ = self.socket.accept()
             except BlockingIOError:
                 return True
-            except OSError as fault:
-                if fault.errno in RESOURCE_ERRORS:
+            except OSError as error:
+                if error.errno in RESOURCE_ERRORS:
                     self.failures += 1
                     return False
-                failed += 1  # a fault of that one connection, which is gone with it: the next one
+                failed += 1  # concerns this connection only, which is no longer pending
                 continue
             self._start_connect(connection)
         return failed < limit
@@ -73,15 +76,15 @@
     async def _connect(self, connection: socket.socket) -> None:
         try:
             await self.loop.connect_accepted_socket(self.factory, connection)
-        except OSError as fault:
+        except OSError as error:
             connection.close()
-            _log.debug("connection lost", extra={"fields": {"why": fault}})
+            _log.debug("connection lost", extra={"fields": {"why": error}})
 
     def _pause(self) -> None:
-        """Not asked again at once: it would only spend the processor until there is room."""
+        """Stops accepting for RETRY_DELAY: trying without a pause would only use CPU."""
         if self.socket is None:
             return
-        _log.debug("no room to accept", extra={"fields": {"failures": self.failures}})
+        _log.debug("accept paused", extra={"fields": {"failures": self.failures}})
         self.loop.remove_reader(self.socket.fileno())
         self.retry_timer = self.loop.call_later(RETRY_DELAY, self._resume)
         self.free_descriptor()
@@ -92,9 +95,8 @@
             self.loop.add_reader(self.socket.fileno(), self._readable)
 
     def close(self, force: bool = False) -> bool:
-        """Takes what still waits and stops listening. Guards clients whose connection the system has taken:
-        closing the socket resets them. False: there was no room for all of them, and nothing was closed,
-        unless by `force`."""
+        """Accepts pending connections and stops listening. Guards pending clients: closing the socket resets
+        them. False: resources were lacking for some of them, and the socket stays open, unless by `force`."""
         if self.socket is None:
             return True
         if not self._accept(BACKLOG) and not force:
--- a/pointgw/net/run/periodic.py
+++ b/pointgw/net/run/periodic.py
@@ -1,4 +1,4 @@
-"""Work that is done again and again by the clock, and survives its own faults."""
+"""Periodic work on the event loop, which goes on after an exception."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from pointgw.net.invariant import violations
 
-MAX_TRACEBACKS = 10  # faults of one kind that are logged with a traceback
+MAX_TRACEBACKS = 10  # exceptions of one kind that are logged with a traceback
 
 _log = logging.getLogger("pointgw.periodic")
 
@@ -16,8 +16,7 @@
 class PeriodicTimer:
     """Calls `work` every `interval()` seconds until it is stopped; the first time after one interval.
 
-    The next call is scheduled before the work is done: a chain that schedules itself last ends for good at
-    the first exception.
+    The next call is scheduled before the work is done, or the first exception would end the series.
     """
 
     def __init__(
@@ -34,7 +33,7 @@
         self.timer = self.loop.call_later(self.interval(), self.run)
 
     def run(self) -> None:
-        """Does the work now, and again after an interval."""
+        """Does the work now, and schedules the next call an interval from now."""
         if self.timer is not None:
             self.timer.cancel()
         self.start()
@@ -49,7 +48,7 @@
 
 
 def count_exception(counter: str, subject: str) -> None:
-    """Counts an exception that is being handled, and logs the first few of its kind."""
+    """Counts the exception being handled as an invariant violation, and logs the first few of a kind."""
     violations[counter] += 1
     if violations[counter] <= MAX_TRACEBACKS:
         _log.exception("fault", extra={"fields": {"what": counter, "about": subject}})
--- a/pointgw/net/run/request_log.py
+++ b/pointgw/net/run/request_log.py
@@ -1,7 +1,7 @@
-"""What happened to each request: one line a step at debug level, and counts for the state line.
+"""Log of each request's steps: one debug line a step, and counts for the state line.
 
-`POINTGW_LOG=debug` and one request's id tell its whole life; the counts tell how often each step and reason
-occurred since the start.
+With `POINTGW_LOG=debug` the lines with one request's id give its whole course; the counts say how often each
+step and reason has occurred since the start.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 class RequestLog:
-    """Steps of requests, by name."""
+    """Counts the steps of requests by name, and logs them."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
     def record(self, step: str, request: str, reason: str = "", **fields: object) -> None:
-        """One step of a request; `reason`: counted with it."""
+        """Records one step of a request. A `reason` becomes part of the counter's name."""
         self.counts[f"{step}_{reason}" if reason else step] += 1
         if _log.isEnabledFor(logging.DEBUG):
-            told = {"request": request} | ({"reason": reason} if reason else {}) | fields
-            _log.debug(step, extra={"fields": told})
+            shown = {"request": request} | ({"reason": reason} if reason else {}) | fields
+            _log.debug(step, extra={"fields": shown})
--- a/pointgw/net/run/tcp.py
+++ b/pointgw/net/run/tcp.py
@@ -1,4 +1,4 @@
-"""What is asked of a TCP connection, and the ways to end it at once."""
+"""Operations on TCP transports: flow control, socket state, immediate close."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 import struct
 import termios
 
-BUFFER_LIMIT = 16 * 1024  # bytes waiting for one side after which the other is not read
-NO_LINGER = struct.pack("ii", 1, 0)
+BUFFER_LIMIT = 16 * 1024  # bytes buffered for one side from which the other side is not read
+NO_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER of zero seconds: closing sends a reset
 
 
 def abort_with_reset(transport: asyncio.Transport) -> None:
-    """Ends it so that the other side sees it broken."""
+    """Closes the connection with a reset (RST), so that the peer sees it broken."""
     sock = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
@@ -22,7 +22,7 @@
 
 
 def unread_bytes(transport: asyncio.Transport) -> int:
-    """Bytes that have come and were not read yet."""
+    """Bytes in the socket's receive buffer."""
     sock = transport.get_extra_info("socket")
     if sock is None or transport.is_closing():
         return 0
@@ -31,7 +31,7 @@
 
 
 def peer_close_events(transport: asyncio.Transport) -> int:
-    """The system's word that the other side has ended or broken it, read already or not; 0: neither."""
+    """Poll events of a peer that has closed or reset, even if earlier input is unread; 0: neither."""
     sock = transport.get_extra_info("socket")
     if sock is None or transport.is_closing():
         return 0
@@ -51,7 +51,7 @@
 
 
 def write_and_close(transport: asyncio.Transport, line: bytes) -> None:
-    """A last line, and then the end at once: where its descriptor is needed for others."""
+    """Writes a last line and closes without a lingering close, to free the descriptor at once."""
     if not transport.is_closing():
         transport.write(line)
         transport.close()
--- a/tests/test_life.py
+++ b/tests/test_connection_state.py
@@ -5,15 +5,15 @@
 from pointgw.net.run.connection_state import TRANSITIONS, ConnectionLifecycle, ConnectionState, DeliveryState
 
 
-def walk(*stages: ConnectionState) -> ConnectionLifecycle:
-    life = ConnectionLifecycle(stages[0])
-    for stage in stages[1:]:
-        life.transition_to(stage)
-    return life
+def lifecycle_after(*states: ConnectionState) -> ConnectionLifecycle:
+    lifecycle = ConnectionLifecycle(states[0])
+    for state in states[1:]:
+        lifecycle.transition_to(state)
+    return lifecycle
 
 
 @pytest.mark.parametrize(
-    ("stages", "known", "late", "broken"),
+    ("states", "delivery", "timeout_ending", "disconnect_ending"),
     [
         ((ConnectionState.CONNECTING,), DeliveryState.NOT_SENT, "no-connection", "no-connection"),
         (
@@ -42,28 +42,35 @@
     ],
 )
 def test_how_a_setup_ends_follows_from_what_was_written(
-    stages: tuple[ConnectionState, ...], known: DeliveryState, late: str, broken: str
+    states: tuple[ConnectionState, ...],
+    delivery: DeliveryState,
+    timeout_ending: str,
+    disconnect_ending: str,
 ) -> None:
-    life = walk(*stages)
-    assert (life.delivery, life.timeout_ending(), life.disconnect_ending()) == (known, late, broken)
-    life.transition_to(ConnectionState.CLOSED)  # and stays known afterwards
-    assert life.is_closing and life.delivery is known
+    lifecycle = lifecycle_after(*states)
+    assert (lifecycle.delivery, lifecycle.timeout_ending(), lifecycle.disconnect_ending()) == (
+        delivery,
+        timeout_ending,
+        disconnect_ending,
+    )
+    lifecycle.transition_to(ConnectionState.CLOSED)  # the delivery state is kept
+    assert lifecycle.is_closing and lifecycle.delivery is delivery
 
 
-def test_nothing_follows_an_end_and_no_step_is_left_out() -> None:
+def test_no_transition_follows_the_end_and_none_skips_a_state() -> None:
     assert TRANSITIONS[ConnectionState.CLOSED] == () and TRANSITIONS[ConnectionState.HALF_CLOSED] == (
         ConnectionState.CLOSED,
     )
     assert set(TRANSITIONS) == set(ConnectionState)
-    for stage, stages in TRANSITIONS.items():
+    for state, targets in TRANSITIONS.items():
         for other in ConnectionState:
-            if other not in stages:
+            if other not in targets:
                 with pytest.raises(ValueError, match="cannot become"):
-                    ConnectionLifecycle(stage).transition_to(other)
+                    ConnectionLifecycle(state).transition_to(other)
 
 
-def test_only_the_write_makes_a_request_one_that_may_have_run() -> None:
-    before = [stage for stage, stages in TRANSITIONS.items() if ConnectionState.REQUEST_SENT in stages]
+def test_only_writing_the_request_makes_it_one_that_may_have_run() -> None:
+    before = [state for state, targets in TRANSITIONS.items() if ConnectionState.REQUEST_SENT in targets]
     assert before == [ConnectionState.CONNECTING]
-    for stage in ConnectionState:
-        assert ConnectionLifecycle(stage).delivery is DeliveryState.NOT_SENT
+    for state in ConnectionState:
+        assert ConnectionLifecycle(state).delivery is DeliveryState.NOT_SENT
