--- a/pointgw/net/run/daemon.py
+++ b/pointgw/net/run/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: reads its files, serves until it is told to stop."""
+"""The daemon: reads its files, then serves until it is stopped."""
 
 from __future__ import annotations
 
@@ -15,51 +15,51 @@
 
 
 def daemon(config: str, operator: str | None, policy: type[Balancer] = Balancer) -> int:
-    """Serves by the start-up file and, if one is named, the operators' file. Gives the exit code.
+    """Serves by the start-up file and, if one is named, the operators' file. Returns the exit code.
 
-    `policy`: what decides; another than the module's is only for comparison.
+    `policy`: the class that decides; another than the default serves for comparison only.
     """
     log.configure(os.environ.get("POINTGW_LOG", "info").upper())
 
-    def read() -> StartUpSettings:
+    def read_settings() -> StartUpSettings:
         return parse_start_up_file(Path(config).read_bytes())
 
     early_signals.install_handler()
     try:
-        told = read()
-    except (OSError, Malformed) as fault:
-        print(f"pointgw: {config}: {fault}", file=sys.stderr)
+        start_up = read_settings()
+    except (OSError, Malformed) as error:
+        print(f"pointgw: {config}: {error}", file=sys.stderr)
         return 2
-    operators = None
+    operator_file = None
     if operator is not None:
-        from pointgw.net.run.operator_file import OperatorFile  # nothing of it is loaded without the file
+        from pointgw.net.run.operator_file import OperatorFile  # loaded only with the file
 
-        operators = OperatorFile.load(operator)
-        if operators is None:
+        operator_file = OperatorFile.load(operator)
+        if operator_file is None:
             return 2
-    remembering = None
-    if operators is not None and operators.settings.state is not None:
+    snapshots = None
+    if operator_file is not None and operator_file.settings.state is not None:
         from pointgw.net.run.snapshots import SnapshotRunner
 
-        kept = operators.settings.state
-        remembering = SnapshotRunner.create(kept.folder, told, kept.boot)
-    tiering = None
-    if operators is not None and operators.settings.tier is not None:
+        state_settings = operator_file.settings.state
+        snapshots = SnapshotRunner.create(state_settings.folder, start_up, state_settings.boot)
+    cluster = None
+    if operator_file is not None and operator_file.settings.tier is not None:
         from pointgw.net.run.cluster import ClusterRunner
 
-        tiering = ClusterRunner.create(operators.settings.tier, told)
-        if tiering is None:
+        cluster = ClusterRunner.create(operator_file.settings.tier, start_up)
+        if cluster is None:
             return 2
-    recovering = None
-    if operators is not None and operators.settings.recovery is not None:
+    recovery = None
+    if operator_file is not None and operator_file.settings.recovery is not None:
         from pointgw.net.run.recovery import RecoveryRunner
 
-        recovering = RecoveryRunner.create(operators.settings.recovery, told)
-        if recovering is None:
+        recovery = RecoveryRunner.create(operator_file.settings.recovery, start_up)
+        if recovery is None:
             return 2
     try:
-        run(told, read, operators, policy, remembering, tiering, recovering)
-    except OSError as fault:
-        print(f"pointgw: {told.listen[0]}:{told.listen[1]}: {fault}", file=sys.stderr)
+        run(start_up, read_settings, operator_file, policy, snapshots, cluster, recovery)
+    except OSError as error:
+        print(f"pointgw: {start_up.listen[0]}:{start_up.listen[1]}: {error}", file=sys.stderr)
         return 1
     return 0
--- a/pointgw/net/run/discovery.py
+++ b/pointgw/net/run/discovery.py
@@ -1,4 +1,4 @@
-"""Calls to discovery, one after another, on a connection that is kept while calls succeed."""
+"""Calls to discovery, one at a time, on a connection that is kept while calls succeed."""
 
 from __future__ import annotations
 
@@ -21,29 +21,30 @@
 
 
 class DiscoveryClient:
-    """The one call that is out, on whose behalf, and the connection it goes out on."""
+    """The call in progress, if any, and the connection to discovery."""
 
     __slots__ = ("address", "failing", "link", "names", "process", "request", "response", "task", "timer")
 
-    def __init__(self, node: BalancerProcess, address: tuple[str, int], names: server_list.Names) -> None:
-        self.process, self.address, self.names = node, address, names
+    def __init__(self, process: BalancerProcess, address: tuple[str, int], names: server_list.Names) -> None:
+        self.process, self.address, self.names = process, address, names
         self.request: RequestList | None = None
-        self.link: Link | None = None  # the one connection whose bytes count
-        self.response = server_list.Response()  # what comes on it
+        self.link: Link | None = None  # the current connection; data on others is ignored
+        self.response = server_list.Response()  # being received on it
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
-        self.failing = False  # the last call failed, and the log says so
+        self.failing = False  # the last call failed, and that was logged
 
-    def request_list(self, asked: RequestList) -> None:
-        self.request = asked
-        if asked.delay:
-            self.timer = self.process.loop.call_later(asked.delay, self._start_call, asked)
+    def request_list(self, request: RequestList) -> None:
+        """Starts a call for the server list, after its delay."""
+        self.request = request
+        if request.delay:
+            self.timer = self.process.loop.call_later(request.delay, self._start_call, request)
         else:
-            self._start_call(asked)
+            self._start_call(request)
 
-    def _start_call(self, asked: RequestList) -> None:
-        within = asked.wait + WATCH_RESPONSE_SECONDS if asked.wait else LIST_RESPONSE_SECONDS
-        self.timer = self.process.loop.call_later(within, self.fail, "no answer", asked.wait > 0)
+    def _start_call(self, request: RequestList) -> None:
+        timeout = request.wait + WATCH_RESPONSE_SECONDS if request.wait else LIST_RESPONSE_SECONDS
+        self.timer = self.process.loop.call_later(timeout, self.fail, "no answer", request.wait > 0)
         if self.link is not None:
             self.on_connected()
         else:
@@ -54,9 +55,9 @@
     async def _connect(self, link: Link) -> None:
         try:
             await self.process.loop.create_connection(lambda: link, *self.address)
-        except OSError as fault:
+        except OSError as error:
             if link is self.link:
-                self.fail(f"no connection: {fault}")
+                self.fail(f"no connection: {error}")
 
     def on_connected(self) -> None:
         assert self.request is not None and self.link is not None
@@ -66,8 +67,8 @@
     def on_data(self, data: bytes) -> None:
         try:
             self.response.feed(data)
-        except Malformed as fault:
-            self.fail(str(fault))
+        except Malformed as error:
+            self.fail(str(error))
             return
         if self.response.pop_complete():
             self._handle_response(self.response)
@@ -80,25 +81,24 @@
 
     def _handle_response(self, response: server_list.Response) -> None:
         if self.request is None:
-            self._close()  # nothing was asked
+            self._close()  # unsolicited response
             return
         if response.status != 200:
             self.fail(f"status {response.status}")
             return
         try:
-            told = server_list.parse_server_list_body(bytes(response.body), self.names)
-        except Malformed as fault:
-            self.fail(str(fault))
+            received = server_list.parse_server_list_body(bytes(response.body), self.names)
+        except Malformed as error:
+            self.fail(str(error))
             return
         self.failing = False
-        if told.invalid_entries:
-            self.process.count_refusal("list entry", f"{told.invalid_entries} that can't be used")
+        if received.invalid_entries:
+            self.process.count_refusal("list entry", f"{received.invalid_entries} unusable")
         self.end_call(keep=response.keep_alive)
-        self.process.submit(ListReceived(told, time.time()))
+        self.process.submit(ListReceived(received, time.time()))
 
     def fail(self, why: str, silent: bool = False) -> None:
-        """Whatever was wrong, a call fails once, and its connection goes with it. `silent`: a watch of which
-        nothing came."""
+        """Ends the call as failed, once, and closes its connection. `silent`: a long poll had no answer."""
         if self.request is None:
             self._close()
             return
@@ -108,7 +108,7 @@
         self.process.submit(ListRequestFailed(silent))
 
     def end_call(self, keep: bool) -> None:
-        """No call is out any more."""
+        """Ends the call in progress, if any; the connection stays open if `keep`."""
         self.request = None
         if self.timer is not None:
             self.timer.cancel()
--- a/pointgw/net/run/log.py
+++ b/pointgw/net/run/log.py
@@ -1,4 +1,4 @@
-"""Logs as key=value lines on standard error, which never hold the process up."""
+"""Logging as key=value lines on standard error, without ever blocking the process."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 import stat
 
 STANDARD_ERROR = 2
-# A pipe that poll calls writable takes so many bytes without blocking (POSIX asks for 512 at least).
+# Bytes that a pipe which poll reports as writable takes without blocking (POSIX: 512 or more).
 MAX_PIECE_BYTES = min(select.PIPE_BUF, 4096)
 
 
 class KeyValueFormatter(logging.Formatter):
-    """`at=... level=... from=... event=...` and what the caller gave as `extra={"fields": {...}}`."""
+    """Formats `at=... level=... from=... event=...` and the caller's `extra={"fields": {...}}`."""
 
     def format(self, record: logging.LogRecord) -> str:
         pairs: dict[str, object] = {
@@ -37,10 +37,10 @@
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes to a descriptor that others share, so that it can't be made non-blocking itself.
+    """Writes without blocking to a descriptor that other processes share, so that O_NONBLOCK can't be set.
 
-    Guards all clients against a log that nobody reads: a write to a full pipe would stop the event loop.
-    A line for which there is no room is dropped and counted; the next that goes out tells the count first.
+    Guards all clients against a log that nobody reads: a write to a full pipe would block the event loop.
+    A line that does not fit is dropped and counted; before the next line written, one line gives the count.
     """
 
     def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
@@ -53,7 +53,7 @@
                 self.socket = socket.socket(fileno=os.dup(descriptor))
             self.poll.register(descriptor, select.POLLOUT)
         except OSError:
-            self.descriptor = -1  # there is none: all lines are dropped
+            self.descriptor = -1  # not open: all lines are dropped
 
     def emit(self, record: logging.LogRecord) -> None:
         try:
@@ -68,25 +68,26 @@
 
     def _format_dropped_count(self, record: logging.LogRecord) -> str:
         fields = {"lines": self.dropped}
-        told = {"name": "pointgw.log", "msg": "lines dropped", "levelname": "WARNING", "fields": fields}
-        return self.format(logging.makeLogRecord(told | {"created": record.created}))
+        values = {"name": "pointgw.log", "msg": "lines dropped", "levelname": "WARNING", "fields": fields}
+        return self.format(logging.makeLogRecord(values | {"created": record.created}))
 
     def _write(self, line: str) -> bool:
-        """False: there was no room for it, or not for all of it."""
+        """Writes a line. False: it was not written, or only a part of it."""
         data = (b"\n" if self.line_incomplete else b"") + line.encode("utf-8", "backslashreplace") + b"\n"
-        at = 0
+        written = 0
         try:
-            while at < len(data):
-                written = self._write_piece(data[at : at + MAX_PIECE_BYTES])
-                if not written:
+            while written < len(data):
+                count = self._write_piece(data[written : written + MAX_PIECE_BYTES])
+                if not count:
                     break
-                at += written
+                written += count
         except OSError:
-            pass  # the reader has gone: as if there were no room
-        self.line_incomplete = 0 < at < len(data) or (self.line_incomplete and at == 0)
-        return at == len(data)
+            pass  # the reader has gone: handled like a full pipe
+        self.line_incomplete = 0 < written < len(data) or (self.line_incomplete and written == 0)
+        return written == len(data)
 
     def _write_piece(self, piece: bytes) -> int:
+        """Gives the number of bytes written, 0 where the descriptor is not writable."""
         if self.descriptor < 0 or not self.poll.poll(0):
             return 0
         if self.socket is not None:
@@ -95,6 +96,7 @@
 
 
 def configure(level: str) -> None:
+    """Makes the root logger write to standard error, at `level` and above."""
     handler = NonBlockingHandler()
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
--- a/pointgw/net/run/operator_file.py
+++ b/pointgw/net/run/operator_file.py
@@ -1,4 +1,4 @@
-"""The operators' file as the daemon holds it: read at the start and again at SIGHUP."""
+"""The operators' file in a running daemon: read at the start and again at SIGHUP."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class OperatorFile:
-    """The sections in force. A file with a fault changes nothing."""
+    """The settings in force. A file that is invalid changes nothing."""
 
     def __init__(self, path: str, settings: operators.OperatorSettings) -> None:
         self.path, self.settings = path, settings
@@ -22,29 +22,30 @@
 
     @classmethod
     def load(cls, path: str) -> OperatorFile | None:
-        """None, and a line for each fault on standard error, where the file can't be used."""
+        """Reads the file. None, after a line for each problem on standard error, where it is invalid."""
         try:
             return cls(path, operators.read(path))
-        except validation.InvalidFileError as faulty:
-            for fault in faulty.problems:
-                print(f"pointgw: {fault.message(path)}", file=sys.stderr)
+        except validation.InvalidFileError as error:
+            for problem in error.problems:
+                print(f"pointgw: {problem.message(path)}", file=sys.stderr)
             return None
 
     def reload(self) -> None:
+        """Reads the file again; logs problems, or which sections need a restart."""
         before = self._restart_only()
         try:
             self.settings = operators.read(self.path)
-        except validation.InvalidFileError as faulty:
-            for fault in faulty.problems:
-                _log.error("operators' file refused", extra={"fields": {"why": fault.message(self.path)}})
+        except validation.InvalidFileError as error:
+            for problem in error.problems:
+                _log.error("operators' file refused", extra={"fields": {"why": problem.message(self.path)}})
             return
         self._apply_log_level()
-        now = self._restart_only()
-        restart = ",".join(name for name, was in before.items() if now[name] != was) or "-"
+        after = self._restart_only()
+        restart = ",".join(name for name, was in before.items() if after[name] != was) or "-"
         _log.info("operators' file read", extra={"fields": {"path": self.path, "need_restart": restart}})
 
     def _restart_only(self) -> dict[str, object]:
-        """What a change of needs a restart."""
+        """The sections whose changes take effect at a restart only."""
         return {
             "state": self.settings.state,
             "tier": _without_evacuation(self.settings.tier),
@@ -59,10 +60,10 @@
 
     @property
     def state_every(self) -> float | None:
-        """Seconds between two state lines; None: as always."""
+        """Seconds between two state lines; None: the default."""
         return self.settings.log.state_every if self.settings.log is not None else None
 
 
 def _without_evacuation(tier: operators.TierSection | None) -> operators.TierSection | None:
-    """What of it needs a restart: all but the zones to be emptied."""
+    """The section without the zones to evacuate, which need no restart."""
     return msgspec.structs.replace(tier, evacuate=()) if tier is not None else None
--- a/pointgw/net/run/probe.py
+++ b/pointgw/net/run/probe.py
@@ -1,4 +1,4 @@
-"""Probes of one server, one after another on a connection that is kept."""
+"""Probes of one server, one at a time, on a connection that is kept."""
 
 from __future__ import annotations
 
@@ -18,20 +18,21 @@
 
 
 class ProbeConnection:
-    """The one probe that is out, and the connection it goes out on."""
+    """The connection to one server, and the probe in progress on it, if any."""
 
     __slots__ = ("address", "buffer", "link", "pool", "probe", "process", "reused", "server", "task", "timer")
 
-    def __init__(self, node: BalancerProcess, pool: ProbePool, server: str, address: Address) -> None:
-        self.process, self.pool, self.server, self.address = node, pool, server, address
-        self.probe: Probe | None = None  # the probe that is out
-        self.reused = False  # it went out on a connection that had served before
-        self.link: Link | None = None  # the one connection whose bytes count
-        self.buffer = bytearray()  # what came on it after the last whole line
+    def __init__(self, process: BalancerProcess, pool: ProbePool, server: str, address: Address) -> None:
+        self.process, self.pool, self.server, self.address = process, pool, server, address
+        self.probe: Probe | None = None  # in progress
+        self.reused = False  # the probe was sent on a connection that was already open
+        self.link: Link | None = None  # the current connection; data on others is ignored
+        self.buffer = bytearray()  # received after the last whole line
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
 
     def send(self, probe: Probe) -> None:
+        """Sends a probe, on a new connection where none is open."""
         self.probe = probe
         self.timer = self.process.loop.call_later(probe.timeout, self._finish, "timeout", {})
         if self.link is not None and self.link.is_connected:
@@ -52,14 +53,14 @@
         try:
             await self.process.loop.create_connection(lambda: link, *probe.address)
             self.process.route_evidence.record_connected(probe.address, self.process.now())
-        except OSError as fault:
-            self._connect_failed(probe, link, fault)
+        except OSError as error:
+            self._connect_failed(probe, link, error)
 
-    def _connect_failed(self, probe: Probe, link: Link, fault: OSError) -> None:
-        """A connection that had come up by then is judged by what comes on it."""
+    def _connect_failed(self, probe: Probe, link: Link, error: OSError) -> None:
+        """Ends the probe, unless the connection has come up meanwhile; then its response decides."""
         if link is self.link and link.transport is None:
             self._finish(
-                self.process.route_evidence.failure_ending(fault, probe.address, self.process.now()), {}
+                self.process.route_evidence.failure_ending(error, probe.address, self.process.now()), {}
             )
 
     def on_connected(self) -> None:
@@ -75,39 +76,39 @@
         if line is None:
             return
         if self.probe is None:
-            self.close()  # nobody asked for it
-            self.pool.probe_ended(self)
+            self.close()  # unsolicited line
+            self.pool.release(self)
             return
         answer = lines.parse_probe_line(line)
         if answer.has_invalid_report:
             self.process.count_refusal("bad report", line[:80])
-        if self.buffer:  # guards against what comes late being read as the next probe's answer
+        if self.buffer:  # guards against late data being read as the next probe's answer
             self.close()
         self._finish(answer.ending, answer.report)
 
     def on_lost(self) -> None:
-        """Its connection has ended."""
+        """Sends the probe again where the server had closed an idle connection; else it ends as reset."""
         self.link = None
         if self.probe is None:
-            self.pool.probe_ended(self)
+            self.pool.release(self)
             return
-        if self.reused:  # the server has ended a connection that was idle: asked again on a new one
+        if self.reused:
             self._open(self.probe)
         else:
             self._finish("reset", {})
 
     def _finish(self, ending: Ending, report: Report) -> None:
-        asked, self.probe = self.probe, None
+        probe, self.probe = self.probe, None
         if self.timer is not None:
             self.timer.cancel()
         if ending in ("timeout", "no-connection", "moot"):
             self.close()
-        self.pool.probe_ended(self)
-        if asked is not None:
-            self.process.submit(ProbeEnded(asked.server, ending, report))
+        self.pool.release(self)
+        if probe is not None:
+            self.process.submit(ProbeEnded(probe.server, ending, report))
 
     def abandon(self) -> None:
-        """Its server is to get nothing new, not even what waits for its connection to come up."""
+        """Ends the probe, also one that waits to connect: rule 3, its server may get nothing new."""
         self.close()
         self._finish("moot", {})
 
--- a/pointgw/net/run/probe_pool.py
+++ b/pointgw/net/run/probe_pool.py
@@ -1,4 +1,4 @@
-"""The connections that are kept for probes: bounded, so that they leave the descriptors to clients."""
+"""Kept connections for probes, limited in number so that clients have enough descriptors."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 if TYPE_CHECKING:
     from pointgw.net.run.balancer_process import BalancerProcess
 
-DESCRIPTOR_SHARE = (
-    1 / 4
-)  # of the descriptors that this process may hold: clients and attempts need two thirds
+DESCRIPTOR_SHARE = 1 / 4  # share of the process's descriptors; clients and setups need two thirds
 
 
 class ProbePool:
-    """One connection a server at most, and `limit` of them in all.
+    """At most one connection per server, and `limit` in all.
 
-    Where all are taken, the one that has been idle longest makes room. Where none is idle a probe waits; one
-    that can't go out in its own time ends as "moot", which says nothing of its server.
+    At the limit the connection that has been idle longest is closed. Where none is idle a probe waits; one
+    that is not sent within its timeout ends as "moot", which is not attributed to its server.
     """
 
-    def __init__(self, node: BalancerProcess, descriptors: int) -> None:
-        self.process = node
+    def __init__(self, process: BalancerProcess, descriptors: int) -> None:
+        self.process = process
         self.limit = max(1, int(descriptors * DESCRIPTOR_SHARE))
-        self.connections: dict[str, ProbeConnection] = {}  # by server; the least recently used first
-        self.waiting: dict[str, Probe] = {}  # until a connection is free, in the order they were asked for
+        self.connections: dict[str, ProbeConnection] = {}  # by server, least recently used first
+        self.waiting: dict[str, Probe] = {}  # by server, in order of request, until a connection is free
 
     def __len__(self) -> int:
         return len(self.connections)
 
     def send(self, probe: Probe) -> None:
         """Sends a probe, now or as soon as a connection is free."""
-        side = self.connections.pop(probe.server, None)
-        if side is not None and side.address != probe.address:  # the server has moved
-            side.close()
-            side = None
-        if side is None and len(self.connections) >= self.limit and not self.close_idle():
+        connection = self.connections.pop(probe.server, None)
+        if connection is not None and connection.address != probe.address:  # the server has a new address
+            connection.close()
+            connection = None
+        if connection is None and len(self.connections) >= self.limit and not self.close_idle():
             self.waiting[probe.server] = probe
             self.process.loop.call_later(probe.timeout, self._wait_timed_out, probe)
             return
-        side = side or ProbeConnection(self.process, self, probe.server, probe.address)
-        self.connections[probe.server] = side
-        side.send(probe)
+        connection = connection or ProbeConnection(self.process, self, probe.server, probe.address)
+        self.connections[probe.server] = connection
+        connection.send(probe)
 
     def close_idle(self) -> bool:
-        """Closes the connection that has been idle longest; False where none is idle."""
-        idle = next((side for side in self.connections.values() if side.probe is None), None)
+        """Closes the connection that has been idle longest. False: none is idle."""
+        idle = next(
+            (connection for connection in self.connections.values() if connection.probe is None), None
+        )
         if idle is None:
             return False
         self.connections.pop(idle.server)
@@ -57,17 +57,17 @@
         return True
 
     def abandon(self, server: str) -> None:
-        """The server is to get nothing new: what was asked of it is given up, its connection is closed."""
-        probe, side = self.waiting.pop(server, None), self.connections.get(server)
+        """Ends the server's probe and closes its connection: rule 3, the server may get nothing new."""
+        probe, connection = self.waiting.pop(server, None), self.connections.get(server)
         if probe is not None:
             self._report_moot(probe)
-        if side is not None:
-            side.abandon()
+        if connection is not None:
+            connection.abandon()
 
-    def probe_ended(self, side: ProbeConnection) -> None:
-        """A probe has ended. A connection that is not kept makes room at once."""
-        if side.link is None and self.connections.get(side.server) is side:
-            del self.connections[side.server]
+    def release(self, connection: ProbeConnection) -> None:
+        """Called when a probe has ended or an idle connection was lost. Removes a closed connection."""
+        if connection.link is None and self.connections.get(connection.server) is connection:
+            del self.connections[connection.server]
         self._send_waiting()
 
     def _send_waiting(self) -> None:
