--- a/pointgw/net/run/cluster.py
+++ b/pointgw/net/run/cluster.py
@@ -1,6 +1,6 @@
-"""The tier (`pointgw.cluster`) beside a balancer: what it sees goes out, the plan in force comes in.
+"""Runs the cluster (`pointgw.cluster`) for a balancer: supplies its observations and applies the agreed plan.
 
-Only loaded where the operators' file has `[tier]`.
+Loaded only where the operators' file has `[tier]`.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 from pointgw.net.wire.start_up import StartUpSettings
 from pointgw.policy import Balancer, Server, State, Tunnel
 
-DECLINED_COUNTED_FOR = 1.0  # seconds for which a client that was turned away counts as there: it comes again
-MAX_DECLINED = 100_000  # of them that are remembered
-STATUS_INTERVAL = 1.0  # seconds
+DECLINED_COUNTED_FOR = 1.0  # seconds for which a declined client counts as demand: it will retry
+MAX_DECLINED = 100_000  # declined clients that are counted
+STATUS_INTERVAL = 1.0  # seconds between two writes of the status file
 
 Address = tuple[str, int]
 _log = logging.getLogger("pointgw.tier")
@@ -37,70 +37,71 @@
 
 @dataclass(slots=True)
 class ClusterRunner:
-    """What is told of the tier, and what speaks for this balancer."""
+    """The cluster settings, this balancer's member of the cluster, and its status file."""
 
     settings: ClusterSettings
     keys: Keys
     peers: tuple[Address, ...]
     listen: Address
-    status: str
+    status_file: str  # path; empty: none is written
     zones: tuple[str, ...]
     profiles: tuple[str, ...]
     transport: ClusterTransport | None = None
     reducer: Reducer | None = None
-    declined_clients: dict[str, tuple[float, Profile]] = field(
-        default_factory=dict
-    )  # by the client's key, oldest first
+    # By client key, oldest first: when a client was last declined, and its profile.
+    declined_clients: dict[str, tuple[float, Profile]] = field(default_factory=dict)
     status_written_at: float = 0.0
     status_write: asyncio.Future[None] | None = None
     last_logged: tuple[object, ...] = ()
-    evacuation_refused: bool = False  # the log says so of an evacuation
+    evacuation_refused: bool = False  # as last logged
 
     @classmethod
-    def create(cls, section: operators.TierSection, start: StartUpSettings) -> ClusterRunner | None:
-        """None, and a line for each fault on standard error, where it can't be."""
+    def create(cls, section: operators.TierSection, start_up: StartUpSettings) -> ClusterRunner | None:
+        """None, after a line for each problem on standard error, where the settings are invalid."""
         try:
-            return cls._create(section, start)
-        except validation.InvalidFileError as faulty:
-            for fault in faulty.problems:
-                print(f"pointgw: {fault.message(faulty.file)}", file=sys.stderr)
+            return cls._create(section, start_up)
+        except validation.InvalidFileError as error:
+            for problem in error.problems:
+                print(f"pointgw: {problem.message(error.file)}", file=sys.stderr)
             return None
 
     @classmethod
-    def _create(cls, section: operators.TierSection, start: StartUpSettings) -> ClusterRunner:
-        peers, listen, me = settings.endpoints(
-            "tier", section, start.peers, start.peer_listen, start.balancer_index
+    def _create(cls, section: operators.TierSection, start_up: StartUpSettings) -> ClusterRunner:
+        peers, listen, own_index = settings.endpoints(
+            "tier", section, start_up.peers, start_up.peer_listen, start_up.balancer_index
+        )
+        zones = start_up.names.zones
+        cluster_settings = settings.cluster_settings(
+            section, zones, start_up.site.zone, start_up.site.profiles, own_index, len(peers)
         )
-        names = start.names.zones
-        told = settings.cluster_settings(section, names, start.site.zone, start.site.profiles, me, len(peers))
         keys = settings.read_keys(section.key_file)
-        return cls(told, keys, peers, listen, section.status, names, start.profiles)
+        return cls(cluster_settings, keys, peers, listen, section.status, zones, start_up.profiles)
 
     async def start(self, reducer: Reducer, loop: asyncio.AbstractEventLoop, seed: int) -> None:
-        """Guards against an address that can't be had: the balancer serves on without the tier."""
+        """Joins the cluster; the balancer serves without it where the address can't be bound."""
         self.reducer = reducer
-        tier = ClusterNode(
+        node = ClusterNode(
             self.settings, self.keys, Random(f"{seed}/tier/{os.urandom(8).hex()}"), loop.time()
         )
-        voice = ClusterTransport(tier, self.peers, loop, self._observe, self._apply_plan)
+        transport = ClusterTransport(node, self.peers, loop, self._observe, self._apply_plan)
         try:
-            await voice.listen(self.listen)
-        except OSError as fault:
-            _log.error("no tier", extra={"fields": {"why": f"{type(fault).__name__} {fault}"}})
+            await transport.listen(self.listen)
+        except OSError as error:
+            _log.error("cluster disabled", extra={"fields": {"why": f"{type(error).__name__} {error}"}})
             return
-        self.transport = voice
+        self.transport = transport
         reducer.on_declined = self._record_declined
 
     def reload(self, section: operators.TierSection | None) -> None:
-        """SIGHUP: which zones are to be emptied is taken over; what else changed needs a restart."""
-        known = section is not None and set(section.evacuate) < set(self.zones)
-        if section is None or not known:
-            why = "no [tier], or zones to evacuate that are not there"
-            _log.error("tier not read again", extra={"fields": {"why": why}})
+        """Applies a change of the zones to evacuate; other changes need a restart."""
+        valid = section is not None and set(section.evacuate) < set(self.zones)
+        if section is None or not valid:
+            why = "no [tier] section, or zones to evacuate that are unknown or all zones"
+            _log.error("cluster settings not reloaded", extra={"fields": {"why": why}})
             return
-        evacuate = sum(1 << self.zones.index(name) for name in section.evacuate)
-        if evacuate != self.settings.evacuated_zones:
-            self.settings = replace(self.settings, evacuated_zones=evacuate)
+        evacuated_zones = sum(1 << self.zones.index(name) for name in section.evacuate)
+        if evacuated_zones != self.settings.evacuated_zones:
+            self.settings = replace(self.settings, evacuated_zones=evacuated_zones)
             if self.transport is not None:
                 self.transport.node.settings = self.settings
             _log.info("tier", extra={"fields": {"evacuate": ",".join(section.evacuate) or "-"}})
@@ -109,13 +110,13 @@
         if self.transport is not None:
             self.transport.stop()
 
-    def _record_declined(self, tun: Tunnel) -> None:
-        """Guards against a need that grows with each try of the same client: who is turned away comes again
-        sooner than one that is served, and the plan would turn away ever more."""
+    def _record_declined(self, tunnel: Tunnel) -> None:
+        """Counts a declined client once, however often it retries. Guards against a feedback loop: declined
+        clients come again sooner than served ones, and the plan would decline ever more."""
         assert self.transport is not None
-        self.declined_clients.pop(tun.key, None)
+        self.declined_clients.pop(tunnel.key, None)
         if len(self.declined_clients) < MAX_DECLINED:
-            self.declined_clients[tun.key] = (self.transport.loop.time(), tun.profile)
+            self.declined_clients[tunnel.key] = (self.transport.loop.time(), tunnel.profile)
 
     def _observe(self, now: float) -> None:
         if self.transport is None or self.reducer is None or not self.transport.node.observation_is_due(now):
@@ -127,7 +128,9 @@
             del self.declined_clients[next(iter(self.declined_clients))]
         self.transport.node.observe(
             observe_zones(
-                self.reducer, self.settings.zone_count, [p for _, p in self.declined_clients.values()]
+                self.reducer,
+                self.settings.zone_count,
+                [profile for _, profile in self.declined_clients.values()],
             ),
             now,
         )
@@ -135,110 +138,123 @@
     def _apply_plan(self, now: float) -> None:
         if self.transport is None or self.reducer is None:
             return
-        tier, balancer = self.transport.node, self.reducer.balancer
-        mine = tier.plan.shares[self.settings.zone]
-        near = all(share[self.settings.zone] == 1.0 for share in mine)
-        balancer.zone_shares = {} if near else dict(zip(balancer.profiles, mine, strict=True))
-        agreed = tier.agreement.agreed_vote
-        said = (len(tier.members.live_members()), agreed, tier.map_mismatch())
-        if said != self.last_logged:
-            self.last_logged = said
+        node, balancer = self.transport.node, self.reducer.balancer
+        own_shares = node.plan.shares[self.settings.zone]
+        all_local = all(share[self.settings.zone] == 1.0 for share in own_shares)
+        balancer.zone_shares = {} if all_local else dict(zip(balancer.profiles, own_shares, strict=True))
+        agreed = node.agreement.agreed_vote
+        to_log = (len(node.members.live_members()), agreed, node.map_mismatch())
+        if to_log != self.last_logged:
+            self.last_logged = to_log
             _log.info("tier", extra={"fields": self._status_fields(now)})
-        if (tier.refused_evacuation is not None) is not self.evacuation_refused:
-            self.evacuation_refused = tier.refused_evacuation is not None
-            if tier.refused_evacuation is not None:
-                need, room = tier.refused_evacuation
-                figures = {"need": round(need, 2), "rest_bears": round(room, 2)}
-                _log.warning("evacuation refused", extra={"fields": figures})
-        if self.status and self.status_write is None and now >= self.status_written_at + STATUS_INTERVAL:
+        if (node.refused_evacuation is not None) is not self.evacuation_refused:
+            self.evacuation_refused = node.refused_evacuation is not None
+            if node.refused_evacuation is not None:
+                demand, capacity = node.refused_evacuation
+                fields = {"need": round(demand, 2), "rest_bears": round(capacity, 2)}
+                _log.warning("evacuation refused", extra={"fields": fields})
+        if self.status_file and self.status_write is None and now >= self.status_written_at + STATUS_INTERVAL:
             self.status_written_at = now
             self._write_status(now)
 
     def _status_fields(self, now: float) -> dict[str, object]:
+        """Fields of the log line, which are also the head of the status file."""
         assert self.transport is not None
-        tier = self.transport.node
-        agreed = tier.agreement.agreed_vote
-        closed = [name for z, name in enumerate(self.zones) if tier.agreement.closed_zones >> z & 1]
+        node = self.transport.node
+        agreed = node.agreement.agreed_vote
+        closed = [name for zone, name in enumerate(self.zones) if node.agreement.closed_zones >> zone & 1]
         return {
-            "there": len(tier.members.live_members()), "of": self.settings.member_count,
+            "there": len(node.members.live_members()), "of": self.settings.member_count,
             "term": agreed.term if agreed is not None else 0, "closed": ",".join(closed) or "-",
-            "other_maps": len(tier.members.map_mismatches), "doubt": tier.members.health_score,
+            "other_maps": len(node.members.map_mismatches), "doubt": node.members.health_score,
         }  # fmt: skip
 
     def _write_status(self, now: float) -> None:
-        """How things stand, whole or not at all, for the owner's eyes."""
+        """Starts to replace the status file, which operators read."""
         assert self.transport is not None
-        tier = self.transport.node
+        node = self.transport.node
         shares = {
             profile: {zone: round(share, 3) for zone, share in zip(self.zones, row, strict=True)}
-            for profile, row in zip(self.profiles, tier.plan.shares[self.settings.zone], strict=True)
+            for profile, row in zip(self.profiles, node.plan.shares[self.settings.zone], strict=True)
         }
         zones = {
             name: {
-                "room": round(z.capacity, 2),
-                "warm": round(z.warm_capacity, 2),
-                "need": round(sum(z.demand), 2),
+                "room": round(estimate.capacity, 2),
+                "warm": round(estimate.warm_capacity, 2),
+                "need": round(sum(estimate.demand), 2),
             }
-            for name, z in zip(self.zones, tier.zone_estimates(now), strict=True)
+            for name, estimate in zip(self.zones, node.zone_estimates(now), strict=True)
         }
-        members = {str(m.index): m.state.name.lower() for m in tier.members.peers.values()}
-        told = self._status_fields(now) | {
+        members = {str(member.index): member.state.name.lower() for member in node.members.peers.values()}
+        status = self._status_fields(now) | {
             "me": self.settings.own_index, "members": members, "zones": zones, "shares": shares,
-            "figures": dict(tier.counters),
+            "figures": dict(node.counters),
         }  # fmt: skip
-        data = msgspec.json.encode(told)
-        self.status_write = self.transport.loop.run_in_executor(None, replace_file, self.status, data)
+        data = msgspec.json.encode(status)
+        self.status_write = self.transport.loop.run_in_executor(None, replace_file, self.status_file, data)
         self.status_write.add_done_callback(self._status_written)
 
-    def _status_written(self, writing: asyncio.Future[None]) -> None:
+    def _status_written(self, write: asyncio.Future[None]) -> None:
         self.status_write = None
-        fault = None if writing.cancelled() else writing.exception()
-        if fault is not None:
-            _log.error("status not written", extra={"fields": {"why": str(fault)}})
-            self.status = ""  # said once
+        error = None if write.cancelled() else write.exception()
+        if error is not None:
+            _log.error("status not written", extra={"fields": {"why": str(error)}})
+            self.status_file = ""  # no further writes, so that this is logged once
 
 
 def replace_file(file: str, data: bytes) -> None:
-    """Raises OSError. Guards against a slow disk, where a rename waits for what was written: off the loop's
-    thread, or no tunnel would be answered meanwhile."""
-    handle, path = tempfile.mkstemp(dir=Path(file).parent, prefix=".tier-")
-    with os.fdopen(handle, "wb") as out:
+    """Replaces a file as a whole or not at all. Raises OSError.
+
+    Runs outside the event loop's thread: on a slow disk the rename waits for the data, and no tunnel would
+    be answered meanwhile.
+    """
+    descriptor, path = tempfile.mkstemp(dir=Path(file).parent, prefix=".tier-")
+    with os.fdopen(descriptor, "wb") as out:
         out.write(data)
     os.replace(path, file)
 
 
-def observe_zones(reducer: Reducer, zones: int, away: list[Profile]) -> tuple[ZoneObservation, ...]:
-    """What this balancer sees of each zone, in mean, warm servers."""
+def observe_zones(reducer: Reducer, zone_count: int, declined: list[Profile]) -> tuple[ZoneObservation, ...]:
+    """This balancer's observation of each zone; capacity and load in warm servers of mean size.
+
+    `declined`: profiles of the clients declined lately.
+    """
     balancer, now = reducer.balancer, reducer.now
-    room, warm, used = [0.0] * zones, [0.0] * zones, [0.0] * zones
-    for ep in balancer.active_servers:
-        if 0 <= ep.zone < zones:
-            size = ep.relative_size / balancer.mean_relative_size
-            warm[ep.zone] += size
-            part = _usable_share(balancer, ep, now)
-            room[ep.zone] += size * part
-            load = ep.reported_load if ep.reported_busy is not None else balancer.mean_load or 0.0
-            used[ep.zone] += size * part * load
-    count, opened = dict.fromkeys(balancer.profiles, 0), 0
+    capacity, warm_capacity, used = [0.0] * zone_count, [0.0] * zone_count, [0.0] * zone_count
+    for server in balancer.active_servers:
+        if 0 <= server.zone < zone_count:
+            size = server.relative_size / balancer.mean_relative_size
+            warm_capacity[server.zone] += size
+            share = _usable_share(balancer, server, now)
+            capacity[server.zone] += size * share
+            load = server.reported_load if server.reported_busy is not None else balancer.mean_load or 0.0
+            used[server.zone] += size * share * load
+    count, open_tunnels = dict.fromkeys(balancer.profiles, 0), 0
     for client in reducer.clients.values():
         if client.tunnel.state is not State.ENDED:
             count[client.tunnel.profile] += 1
-            opened += client.tunnel.state is State.OPEN
-    for profile in away:
+            open_tunnels += client.tunnel.state is State.OPEN
+    for profile in declined:
         count[profile] += 1
-    need = tuple(count[profile] for profile in balancer.profiles)
-    own = balancer.zone
+    demand = tuple(count[profile] for profile in balancer.profiles)
+    own_zone = balancer.zone
     return tuple(
-        ZoneObservation(room[z], warm[z], used[z], opened if z == own else 0, need if z == own else ())
-        for z in range(zones)
+        ZoneObservation(
+            capacity[zone],
+            warm_capacity[zone],
+            used[zone],
+            open_tunnels if zone == own_zone else 0,
+            demand if zone == own_zone else (),
+        )
+        for zone in range(zone_count)
     )
 
 
-def _usable_share(balancer: Balancer, ep: Server, now: float) -> float:
-    """Of its full capacity, what it can do now by what this balancer saw of it."""
-    if ep.process_missing or max(ep.ejected_until, ep.unstable_until) > now:
+def _usable_share(balancer: Balancer, server: Server, now: float) -> float:
+    """The share of its full capacity that a server has now, as far as this balancer knows."""
+    if server.process_missing or max(server.ejected_until, server.unstable_until) > now:
         return 0.0
-    if ep.warm_at <= now:
+    if server.warm_at <= now:
         return 1.0
-    age = max(0.0, now - (ep.warm_at - balancer.warm_up_window)) / balancer.warm_up_window
+    age = max(0.0, now - (server.warm_at - balancer.warm_up_window)) / balancer.warm_up_window
     return balancer.slow_start_share + (1 - balancer.slow_start_share) * age
--- a/pointgw/net/run/snapshots.py
+++ b/pointgw/net/run/snapshots.py
@@ -1,6 +1,6 @@
-"""The memory on disk (`pointgw.state`) beside a balancer: read at its start, kept while it runs.
+"""Snapshots on disk (`pointgw.state`) for a balancer: restored at its start, written while it runs.
 
-Only loaded where the operators' file has `[state]`.
+Loaded only where the operators' file has `[state]`.
 """
 
 from __future__ import annotations
@@ -27,61 +27,61 @@
 
 @dataclass(slots=True)
 class SnapshotRunner:
-    """What is on disk, what was made of it, and what keeps it."""
+    """The snapshot store, the state restored from it, and the writer."""
 
     store: SnapshotStore
     fingerprint: str
     membership: MembershipView
     restored: RestoredState | None
-    boot_id: str  # of this machine
+    boot_id: str  # of this machine, empty if unknown
     writer: snapshot_writer.SnapshotWriter | None = None
 
     @classmethod
-    def create(cls, folder: str, start: StartUpSettings, boot: str = "") -> SnapshotRunner | None:
-        """None, with a line of the log, where the folder can't be used."""
-        held = snapshot_writer.open_store(folder, start.name)
-        if held is None:
+    def create(cls, folder: str, start_up: StartUpSettings, boot_path: str = "") -> SnapshotRunner | None:
+        """Restores the last snapshot. None, after a line of the log, where the folder can't be used."""
+        opened = snapshot_writer.open_store(folder, start_up.name)
+        if opened is None:
             return None
-        store, found = held
-        mark = records.installation_fingerprint(start.names.zones, start.profiles)
-        known = records_from_list(start.known_list.servers, start.known_list.addresses)
-        now, recalled, run = time.time(), None, read_boot_id(boot)
+        store, found = opened
+        fingerprint = records.installation_fingerprint(start_up.names.zones, start_up.profiles)
+        listed = records_from_list(start_up.known_list.servers, start_up.known_list.addresses)
+        now, restored, boot_id = time.time(), None, read_boot_id(boot_path)
         if found.snapshot is None:
-            _log.info("nothing remembered", extra={"fields": {"folder": folder, "lost": len(found.damaged)}})
+            _log.info("no snapshot", extra={"fields": {"folder": folder, "lost": len(found.damaged)}})
         else:
-            recalled = restore(found.snapshot, known, mark, now, run)
-            if recalled is None:
+            restored = restore(found.snapshot, listed, fingerprint, now, boot_id)
+            if restored is None:
                 store.release()
-                why = "it is another installation's: its zones or profiles differ"
+                why = "snapshot of another installation: its zones or profiles differ"
                 _log.error("left untouched", extra={"fields": {"folder": folder, "why": why}})
                 return None
-            told: dict[str, object] = {
+            fields: dict[str, object] = {
                 "folder": folder,
-                "age": recalled.age_seconds,
-                "clean": recalled.clean_stop,
+                "age": restored.age_seconds,
+                "clean": restored.clean_stop,
             }
-            told["warm"] = len(recalled.same_process)
-            _log.info("remembered", extra={"fields": told | recalled.status_counts})
-        roster = (
-            recalled.membership
-            if recalled is not None
-            else MembershipView({fact.name: fact for fact in known})
+            fields["warm"] = len(restored.same_process)
+            _log.info("snapshot restored", extra={"fields": fields | restored.status_counts})
+        membership = (
+            restored.membership
+            if restored is not None
+            else MembershipView({record.name: record for record in listed})
         )
-        return cls(store, mark, roster, recalled, run)
+        return cls(store, fingerprint, membership, restored, boot_id)
 
     def start(
         self, reducer: Reducer, loop: asyncio.AbstractEventLoop, clock: Callable[[], float] = time.time
     ) -> None:
-        """`clock`: the process's own, which goes on evenly where the wall clock steps."""
+        """Starts to write snapshots. `clock`: the process's time in seconds, which never steps."""
 
         def take(clean: bool) -> records.Snapshot:
             now, wall = clock(), time.time()
-            stepped = wall - now if abs(wall - now) > CLOCK_TOLERANCE_SECONDS else 0.0
-            discovery = reducer.discovery  # the one in force: a reload may have turned
+            clock_step = wall - now if abs(wall - now) > CLOCK_TOLERANCE_SECONDS else 0.0
+            discovery = reducer.discovery  # read here, as a reload may have changed it
             return records.Snapshot(
                 self.fingerprint, wall, reducer.list_version, f"{discovery[0]}:{discovery[1]}", clean,
-                to_wall_time(self.membership.snapshot_records(now), stepped),
-                server_health(reducer.balancer, now, stepped), learned_figures(reducer.balancer),
+                to_wall_time(self.membership.snapshot_records(now), clock_step),
+                server_health(reducer.balancer, now, clock_step), learned_figures(reducer.balancer),
                 self.membership.lifetimes, self.boot_id,
             )  # fmt: skip
 
@@ -95,7 +95,7 @@
 
 
 def read_boot_id(path: str) -> str:
-    """What the machine calls its run since power-on; nothing where it does not tell."""
+    """The id of the machine's current boot, from the file at `path`; empty where it can't be read."""
     try:
         with open(path, encoding="ascii", errors="replace") as file:
             return file.read(100).strip()
@@ -103,58 +103,66 @@
         return ""
 
 
-def to_wall_time(kept: tuple[records.ServerRecord, ...], stepped: float) -> tuple[records.ServerRecord, ...]:
-    """Facts whose times are of the process's clock, which the wall clock has left by so much."""
-    if not stepped:
-        return kept
+def to_wall_time(
+    server_records: tuple[records.ServerRecord, ...], clock_step: float
+) -> tuple[records.ServerRecord, ...]:
+    """Converts times of the process's clock to wall time, which is ahead by `clock_step` seconds."""
+    if not clock_step:
+        return server_records
     return tuple(
         msgspec.structs.replace(
-            fact,
-            confirmed_at=fact.confirmed_at and fact.confirmed_at + stepped,
-            seen_at=fact.seen_at and fact.seen_at + stepped,
+            record,
+            confirmed_at=record.confirmed_at and record.confirmed_at + clock_step,
+            seen_at=record.seen_at and record.seen_at + clock_step,
         )
-        for fact in kept
+        for record in server_records
     )
 
 
-def server_health(balancer: Balancer, now: float, stepped: float = 0.0) -> tuple[records.ServerHealth, ...]:
-    """Of the servers that are suspended, have strikes, or are cold; a doubted one has learned nothing yet."""
+def server_health(
+    balancer: Balancer, now: float, clock_step: float = 0.0
+) -> tuple[records.ServerHealth, ...]:
+    """Health of servers that are ejected, have recent failures or are cold. Stale ones have none yet."""
     return tuple(
         records.ServerHealth(
-            ep.name,
-            ep.started_at,
-            ep.recent_failures,
-            ep.ejected_until + stepped,
-            ep.slow_start_budget,
-            ep.budget_updated_at + stepped,
+            server.name,
+            server.started_at,
+            server.recent_failures,
+            server.ejected_until + clock_step,
+            server.slow_start_budget,
+            server.budget_updated_at + clock_step,
         )
-        for ep in balancer.servers.values()
-        if not ep.stale and (ep.recent_failures or ep.ejected_until > now or ep.warm_at > now)
+        for server in balancer.servers.values()
+        if not server.stale and (server.recent_failures or server.ejected_until > now or server.warm_at > now)
     )
 
 
 def learned_figures(balancer: Balancer) -> records.LearnedFigures:
+    """The estimates that the balancer has learned from its tunnels."""
     return records.LearnedFigures(
         balancer.c, balancer.load_per_tunnel, balancer.arrival_rate, 0.0, 0, balancer.slow_start_rate
     )
 
 
-def restore_learned_state(balancer: Balancer, recalled: RestoredState, now: float) -> None:
-    """Hands the decisions what was remembered, after the list."""
-    for name in sorted(recalled.same_process):
+def restore_learned_state(balancer: Balancer, restored: RestoredState, now: float) -> None:
+    """Applies restored state to the balancer, after the server list was."""
+    for name in sorted(restored.same_process):
         if name in balancer.servers:
             balancer.confirm_process(balancer.servers[name])
-    for name in sorted(recalled.stale):
+    for name in sorted(restored.stale):
         if name in balancer.servers:
             balancer.mark_stale(balancer.servers[name])
-    for one in recalled.health:
-        ep = balancer.servers.get(one.name)
-        if ep is not None and ep.started_at == one.started_at and not ep.stale:
-            # No suspension is longer than the longest that is given; a clock may have jumped.
-            ep.recent_failures = min(max(0, one.recent_failures), 4)
-            ep.ejected_until = min(one.ejected_until, now + balancer.attempt_timeout * 64 * 1.2)
-            ep.slow_start_budget, ep.budget_updated_at = min(ep.slow_start_budget, one.slow_start_budget), now
-    learned = recalled.learned
+    for health in restored.health:
+        server = balancer.servers.get(health.name)
+        if server is not None and server.started_at == health.started_at and not server.stale:
+            # At most the longest ejection that the balancer sets, as a clock may have jumped.
+            server.recent_failures = min(max(0, health.recent_failures), 4)
+            server.ejected_until = min(health.ejected_until, now + balancer.attempt_timeout * 64 * 1.2)
+            server.slow_start_budget, server.budget_updated_at = (
+                min(server.slow_start_budget, health.slow_start_budget),
+                now,
+            )
+    learned = restored.learned
     if learned is not None and all(
         math.isfinite(value) and value > 0 for value in (learned.load_per_tunnel, learned.arrival_rate)
     ):
