--- a/pointgw/net/run/balancer_process.py
+++ b/pointgw/net/run/balancer_process.py
@@ -94,7 +94,7 @@
         )
         self.wall_clock_offset = time.time() - time.monotonic()  # servers' start times are wall time
         self.reducer = self._create_reducer(policy)
-        self.slow_threshold = self.reducer.balancer.attempt_timeout / 3
+        self.slow_threshold = self.reducer.balancer.attempt_timeout / 3  # seconds without a reply
         self.partial_line_timeout = min(
             self.reducer.max_client_timeout, BAD_CLIENT_TIMEOUT - 2 * CHECK_INTERVAL
         )
@@ -105,8 +105,8 @@
         self.descriptor_budget = int(self.descriptor_limit * (1 - SPARE_DESCRIPTOR_SHARE)) - OWN_DESCRIPTORS
         self.connections = ClientConnections(loop, self.reducer.max_client_timeout)
         self.refusals: Counter[str] = Counter()
-        self.clients: dict[int, ClientConnection] = {}
-        self.servers: dict[tuple[int, int], ServerConnection] = {}
+        self.clients: dict[int, ClientConnection] = {}  # by request number
+        self.servers: dict[tuple[int, int], ServerConnection] = {}  # by request and setup number
         self.probes = ProbePool(self, self.descriptor_budget)
         self.discovery = DiscoveryClient(self, start_up.discovery, start_up.names)
         self.request_numbers = count()
@@ -139,20 +139,20 @@
         return time.monotonic() + self.wall_clock_offset
 
     def register_request(self, client: ClientConnection) -> int:
-        """Gives the number by which the reducer's events and effects refer to this client."""
+        """Returns the number by which the reducer's events and effects refer to this client."""
         number = next(self.request_numbers)
         self.connections.remove_idle(client)
         self.clients[number] = client
         self.request_log.record("arrived", client.request_id)
         return number
 
-    def answer_deadline(self, opening: OpenRequest) -> float:
-        """When the client must be answered at the latest. Resumed tunnels have longer."""
-        if opening.current_server:
+    def answer_deadline(self, request: OpenRequest) -> float:
+        """When the client must be answered at the latest. Tunnels open before this process have longer."""
+        if request.current_server:
             return self.now() + INHERITED_TIMEOUT_SECONDS
-        longest = self.reducer.max_client_timeout
+        max_timeout = self.reducer.max_client_timeout
         return self.now() + (
-            longest if opening.remaining_time is None else min(opening.remaining_time, longest)
+            max_timeout if request.remaining_time is None else min(request.remaining_time, max_timeout)
         )
 
     def request_id(self, client: int) -> str:
@@ -160,7 +160,7 @@
         return self.clients[client].request_id if client in self.clients else "-"
 
     def client_accepted(self, connection: ClientConnection) -> None:
-        """Guards against clients that hold descriptors and send nothing: the oldest are closed for others."""
+        """Closes an idle connection where descriptors run short: guards against clients that send nothing."""
         self.connections.add_idle(connection)
         without_request = len(self.connections.idle) + len(self.connections.lingering)
         open_count = without_request + len(self.clients) + len(self.servers) + len(self.probes)
@@ -189,7 +189,7 @@
         self._execute_all(self.reducer.pop_effects())
         if early_signals.pop_sighup():  # a SIGHUP may have come after the file was read
             self.reload()
-        if self.reducer.list_is_pushed:  # rule 3: the agent's list holds from the first moment
+        if self.reducer.list_is_pushed:  # rule 3: what the pushing agent already holds binds from the start
             await self.discovery_answered
         await self._listen()
         self.timeout_check.start()
--- a/pointgw/net/run/log.py
+++ b/pointgw/net/run/log.py
@@ -87,7 +87,7 @@
         return written == len(data)
 
     def _write_piece(self, piece: bytes) -> int:
-        """Gives the number of bytes written, 0 where the descriptor is not writable."""
+        """Returns the number of bytes written, 0 where the descriptor is not writable."""
         if self.descriptor < 0 or not self.poll.poll(0):
             return 0
         if self.socket is not None:
--- a/pointgw/net/run/request_log.py
+++ b/pointgw/net/run/request_log.py
@@ -1,6 +1,6 @@
 """Log of each request's steps: one debug line a step, and counts for the state line.
 
-With `POINTGW_LOG=debug` the lines with one request's id give its whole course; the counts say how often each
+With `POINTGW_LOG=debug` the lines with one request's id show its whole course; the counts show how often each
 step and reason has occurred since the start.
 """
 
