--- a/pointgw/net/run/log.py
+++ b/pointgw/net/run/log.py
@@ -31,7 +31,7 @@
     @staticmethod
     def _quote(value: object) -> str:
         text = f"{value:.4g}" if isinstance(value, float) else str(value)
-        if text and not any(mark in text for mark in ' "=\n'):
+        if text and not any(char in text for char in ' "=\n'):
             return text
         return '"' + text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n") + '"'
 
