--- a/benchmarks/blind.py
+++ b/benchmarks/blind.py
@@ -24,10 +24,10 @@
 from pointgw.state.snapshot_format import encode
 from pointgw.state.snapshot_store import SnapshotStore
 from pointgw.testbed import records
+from pointgw.testbed.invariant_checker import check_records
 from pointgw.testbed.meta import Meta
-from pointgw.testbed.play import Play
-from pointgw.testbed.referee import judge
-from pointgw.testbed.results import Result, compare, result, spread
+from pointgw.testbed.results import Result, compare, compute_result, spread
+from pointgw.testbed.run import ScenarioRun
 from pointgw.testbed.scenario import Scenario, Trouble, read
 
 FIRST = 10.0  # seconds from the restart that are looked at
@@ -97,9 +97,9 @@
 ) -> Seen:
     async with gate:
         seeded = msgspec.structs.replace(scenario, seed=seed)
-        meta = await Play(seeded, folder, run=run, between=between).play()
+        meta = await ScenarioRun(seeded, folder, run_number=run, on_balancer_down=between).execute()
         found = records.read(folder)
-        return Seen(result(found, meta, judge(found, meta)), *measured(found, meta))
+        return Seen(compute_result(found, meta, check_records(found, meta)), *measured(found, meta))
 
 
 def measured(found: list[records.AnyRecord], meta: Meta) -> tuple[int, float]:
--- a/benchmarks/cold_untold.py
+++ b/benchmarks/cold_untold.py
@@ -17,9 +17,9 @@
 import msgspec
 
 from pointgw.testbed import records as rec
-from pointgw.testbed.play import Play
-from pointgw.testbed.referee import judge
-from pointgw.testbed.results import Result, result, spread
+from pointgw.testbed.invariant_checker import check_records
+from pointgw.testbed.results import Result, compute_result, spread
+from pointgw.testbed.run import ScenarioRun
 from pointgw.testbed.scenario import read
 
 DAYS = ("power-loss", "three-at-once")
@@ -27,9 +27,9 @@
 
 
 async def one(name: str, seed: int, folder: Path, run: int) -> Result:
-    meta = await Play(msgspec.structs.replace(read(name), seed=seed), folder, run=run).play()
+    meta = await ScenarioRun(msgspec.structs.replace(read(name), seed=seed), folder, run_number=run).execute()
     found = rec.read(folder)
-    return result(found, meta, judge(found, meta))
+    return compute_result(found, meta, check_records(found, meta))
 
 
 async def all_of_them(days: list[str], seeds: int, beside: int, folder: Path) -> dict[str, list[Result]]:
--- a/benchmarks/filling.py
+++ b/benchmarks/filling.py
@@ -17,9 +17,9 @@
 import msgspec
 
 from pointgw.testbed import records as rec
-from pointgw.testbed.play import Play
-from pointgw.testbed.referee import judge
-from pointgw.testbed.results import Result, result
+from pointgw.testbed.invariant_checker import check_records
+from pointgw.testbed.results import Result, compute_result
+from pointgw.testbed.run import ScenarioRun
 from pointgw.testbed.scenario import read
 
 DAY, LOSS = "power-loss", 10.0
@@ -31,14 +31,14 @@
     fleet = msgspec.structs.replace(told.fleet, recovers=recovers)
     seeded = msgspec.structs.replace(told, fleet=fleet, seed=seed)
     place = folder / f"{DAY}-{'recovers' if recovers else 'alone'}-{seed}"
-    meta = await Play(seeded, place, run=os.getpid() + number).play()
+    meta = await ScenarioRun(seeded, place, run_number=os.getpid() + number).execute()
     found = rec.read(place)
     seconds = [r for r in found if isinstance(r, rec.Second) and r.t > meta.began + LOSS + 1.0]
     reached = []
     for profile, mark in enumerate(MARKS):
         at = next((r.t for r in seconds if r.served[profile] >= mark * max(r.asked[profile], 1e-9)), None)
         reached.append(at - meta.began - LOSS if at is not None else float("nan"))
-    return result(found, meta, judge(found, meta)), reached
+    return compute_result(found, meta, check_records(found, meta)), reached
 
 
 async def all_of_them(seeds: int, folder: Path) -> None:
--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -18,18 +18,18 @@
 
 from pointgw.testbed import records
 from pointgw.testbed.baseline import POLICIES
-from pointgw.testbed.play import Play
-from pointgw.testbed.referee import judge
-from pointgw.testbed.results import Result, compare, result, spread
-from pointgw.testbed.scenario import Scenario, library, read
+from pointgw.testbed.invariant_checker import check_records
+from pointgw.testbed.results import Result, compare, compute_result, spread
+from pointgw.testbed.run import ScenarioRun
+from pointgw.testbed.scenario import Scenario, read, scenario_names
 
 
 async def one(scenario: Scenario, seed: int, policy: str, folder: Path, run: int) -> Result:
     seeded = msgspec.structs.replace(scenario, seed=seed)
     place = folder / scenario.name / f"{policy}-{seed}"
-    meta = await Play(seeded, place, policy, run=run).play()
+    meta = await ScenarioRun(seeded, place, policy, run_number=run).execute()
     found = records.read(place)
-    return result(found, meta, judge(found, meta))
+    return compute_result(found, meta, check_records(found, meta))
 
 
 async def scene(name: str, seeds: int, policies: list[str], folder: Path) -> list[Result]:
@@ -71,7 +71,7 @@
     heads += [f"against {policy}" for policy in told.policies[1:]]
     print("| " + " | ".join(heads) + " |\n|" + " --- |" * len(heads), flush=True)
     notes: list[str] = []
-    for name in told.only or library():
+    for name in told.only or scenario_names():
         results = asyncio.run(scene(name, told.seeds, told.policies, told.folder))
         place = told.folder / name
         (place / "result.json").write_bytes(msgspec.json.encode(results))
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -26,8 +26,8 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from pointgw.testbed.alone import Alone
 from pointgw.testbed.scenario import Fleet, Kind
+from pointgw.testbed.stand_in import StandIn
 
 END = b"\r\n"
 
@@ -107,7 +107,7 @@
     """Four large, idle servers."""
     fleet = Fleet(kinds=(Kind("m", 1.0, 1e4),), holds=10**6, tells_shares=told, report_noise=0.0)
     fleet = msgspec.structs.replace(fleet, setup_work=0.001, message_work=0.001)
-    uvloop.run(Alone(listen, ("127.0.0.1", 0), 4, 1e4, config, balancer, fleet).run())
+    uvloop.run(StandIn(listen, ("127.0.0.1", 0), 4, 1e4, config, balancer, fleet).run())
 
 
 def together(
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -20,9 +20,9 @@
 import msgspec
 
 from pointgw.testbed import records as rec
-from pointgw.testbed.play import Play
-from pointgw.testbed.referee import judge
-from pointgw.testbed.results import Result, compare, result, spread
+from pointgw.testbed.invariant_checker import check_records
+from pointgw.testbed.results import Result, compare, compute_result, spread
+from pointgw.testbed.run import ScenarioRun
 from pointgw.testbed.scenario import Scenario, Trouble, read
 
 AFTER = 15.0  # seconds from the loss that are looked at
@@ -63,9 +63,9 @@
 
 async def one(scenario: Scenario, seed: int, number: int, folder: Path) -> Seen:
     seeded = msgspec.structs.replace(scenario, seed=seed)
-    meta = await Play(seeded, folder, run=os.getpid() + number).play()
+    meta = await ScenarioRun(seeded, folder, run_number=os.getpid() + number).execute()
     found = rec.read(folder)
-    told = result(found, meta, judge(found, meta))
+    told = compute_result(found, meta, check_records(found, meta))
     at = min(t.at for t in scenario.trouble if t.target == "server")
     begin, end = meta.began + at, meta.began + at + AFTER
     seconds = [r for r in found if isinstance(r, rec.Second) and begin < r.t <= end]
--- a/pointgw/command/main.py
+++ b/pointgw/command/main.py
@@ -203,10 +203,10 @@
 @rig.command("list")
 def rig_list() -> None:
     """List the scenarios of the library."""
-    from pointgw.testbed.scenario import library, read
+    from pointgw.testbed.scenario import read, scenario_names
 
     with report_invalid_file():
-        for name in library():
+        for name in scenario_names():
             click.echo(f"{name:<22} {read(name).about}")
 
 
@@ -304,9 +304,9 @@
 ) -> int:  # fmt: skip
     """Run stand-in servers and discovery in one process, until Ctrl-C."""
     from pointgw.command.rig import stand_in_until_interrupted
-    from pointgw.testbed.alone import Alone
+    from pointgw.testbed.stand_in import StandIn
 
-    return stand_in_until_interrupted(Alone(listen, discovery, servers, capacity, config, balancer))
+    return stand_in_until_interrupted(StandIn(listen, discovery, servers, capacity, config, balancer))
 
 
 def command(arguments: list[str]) -> int:
--- a/pointgw/command/rig.py
+++ b/pointgw/command/rig.py
@@ -18,12 +18,12 @@
 from pointgw.net.run import log
 from pointgw.testbed import meta as rig_meta
 from pointgw.testbed import records, table
-from pointgw.testbed.alone import Alone
+from pointgw.testbed.invariant_checker import check_records, format_result
 from pointgw.testbed.load_generator import LoadGenerator
-from pointgw.testbed.play import Play, Void
-from pointgw.testbed.referee import judge, report
-from pointgw.testbed.results import Result, result
+from pointgw.testbed.results import Result, compute_result
+from pointgw.testbed.run import InvalidRunError, ScenarioRun
 from pointgw.testbed.scenario import Scenario, read
+from pointgw.testbed.stand_in import StandIn
 
 
 def play_and_show(
@@ -43,7 +43,7 @@
     try:
         for seed in range(scenario.seed, scenario.seed + seeds):
             found.append(asyncio.run(_play(scenario, seed, policy, Path(folder))))
-    except Void as error:
+    except InvalidRunError as error:
         click.echo(f"pointgw: run is void: {error}", err=True)
         return 3
     except KeyboardInterrupt:
@@ -55,7 +55,7 @@
     if as_json:
         click.echo(msgspec.json.encode(found).decode())
     else:
-        click.echo("\n".join(table.rows(found)))
+        click.echo("\n".join(table.format_results(found)))
     if plot:
         try:
             from pointgw.testbed.plot import draw
@@ -86,11 +86,11 @@
     for name in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(name, task.cancel)
     try:
-        run_meta = await Play(seeded, output, policy, _progress(scenario, seed)).play()
+        run_meta = await ScenarioRun(seeded, output, policy, _progress(scenario, seed)).execute()
     except asyncio.CancelledError:
         raise KeyboardInterrupt from None
     found = records.read(output)
-    return result(found, run_meta, judge(found, run_meta))
+    return compute_result(found, run_meta, check_records(found, run_meta))
 
 
 def _progress(scenario: Scenario, seed: int) -> Callable[[float], None] | None:
@@ -111,9 +111,9 @@
 def judge_again(folder: str) -> int:
     """Checks the records of an earlier run and prints the result; returns the exit code."""
     found, run_meta = records.read(Path(folder)), rig_meta.read(Path(folder))
-    verdict = judge(found, run_meta)
-    click.echo("\n".join(report(verdict)))
-    return 0 if verdict.kept and verdict.judged else 1
+    verdict = check_records(found, run_meta)
+    click.echo("\n".join(format_result(verdict)))
+    return 0 if verdict.passed and verdict.tunnels_checked else 1
 
 
 def show(first: str, other: str | None, as_json: bool) -> int:
@@ -124,7 +124,7 @@
         rows = [msgspec.to_builtins(results) for results in (one, two) if results is not None]
         click.echo(json.dumps(rows))
     else:
-        click.echo("\n".join(table.rows(one) if two is None else table.side_by_side(one, two)))
+        click.echo("\n".join(table.format_results(one) if two is None else table.format_comparison(one, two)))
     return 0
 
 
@@ -153,7 +153,7 @@
     return 0 if figures["opened"] else 1
 
 
-def stand_in_until_interrupted(alone: Alone) -> int:
+def stand_in_until_interrupted(alone: StandIn) -> int:
     """Runs stand-in servers and discovery until SIGINT."""
     log.configure("WARNING")
     with suppress(KeyboardInterrupt):
--- a/pointgw/testbed/referee.py
+++ b/pointgw/testbed/invariant_checker.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
+class Violation:
     """A rule that was broken."""
 
     rule: int  # 1 to 4; 0: a balancer ended by itself
@@ -39,7 +39,7 @@
     text: str
     seen: tuple[str, ...] = ()  # all that is known of the tunnel, in order
 
-    def lines(self) -> list[str]:
+    def format_lines(self) -> list[str]:
         name = f"rule {self.rule}" if self.rule else "crash"
         about = f" tunnel {self.tunnel}" if self.tunnel else ""
         first = f"{name} broken at {self.at:.3f}s{about}: {self.text}"
@@ -47,17 +47,17 @@
 
 
 @dataclass(slots=True)
-class Verdict:
-    judged: int = 0  # tunnels
-    excused: Counter[str] = field(default_factory=Counter)
-    breaches: list[Breach] = field(default_factory=list)
+class CheckResult:
+    tunnels_checked: int = 0  # tunnels
+    tunnels_excluded: Counter[str] = field(default_factory=Counter)
+    violations: list[Violation] = field(default_factory=list)
 
     @property
-    def kept(self) -> bool:
-        return not self.breaches
+    def passed(self) -> bool:
+        return not self.violations
 
-    def counts(self) -> dict[int, int]:
-        return dict(Counter(breach.rule for breach in self.breaches))
+    def violations_by_rule(self) -> dict[int, int]:
+        return dict(Counter(breach.rule for breach in self.violations))
 
 
 @dataclass(slots=True)
@@ -95,16 +95,16 @@
         return self.said != "BUSY"
 
 
-def judge(found: list[rec.AnyRecord], meta: Meta) -> Verdict:
+def check_records(found: list[rec.AnyRecord], meta: Meta) -> CheckResult:
     """Raises nothing: a run without records has nothing judged, which the caller must not call kept."""
-    return Referee(found, meta).judge()
+    return InvariantChecker(found, meta).judge()
 
 
-class Referee:
+class InvariantChecker:
     def __init__(self, found: list[rec.AnyRecord], meta: Meta) -> None:
         self.meta, self.found = meta, found
         self.boxed = {f"s-{number}" for number in meta.boxed_servers}
-        self.verdict = Verdict()
+        self.verdict = CheckResult()
         self.tries: dict[str, Try] = defaultdict(Try)
         self.receipts: set[tuple[str, str]] = set()
         self.away: dict[int, list[tuple[float, float]]] = defaultdict(list)  # when a balancer could not act
@@ -164,7 +164,7 @@
         for name, at in paused.items():
             self.stood[name].append((at, inf))
 
-    def judge(self) -> Verdict:
+    def judge(self) -> CheckResult:
         for name, one in self.tries.items():
             self._answers(name, one)
             self._effects(name, one)
@@ -173,11 +173,11 @@
         for record in self.found:
             if isinstance(record, rec.Balancer) and record.what == "died":
                 self._broken(0, record.t, "", f"balancer n{record.number} ended by itself")
-        self.verdict.breaches.sort(key=lambda breach: (breach.rule, breach.at))
+        self.verdict.violations.sort(key=lambda breach: (breach.rule, breach.at))
         return self.verdict
 
     def _broken(self, rule: int, at: float, tunnel: str, text: str, seen: tuple[str, ...] = ()) -> None:
-        self.verdict.breaches.append(Breach(rule, at - self.meta.began, tunnel, text, seen))
+        self.verdict.violations.append(Violation(rule, at - self.meta.began, tunnel, text, seen))
 
     # Rule 1.
 
@@ -196,9 +196,9 @@
                 text = "neither an answer nor an end reached its client"
                 self._broken(1, last, name, text, one.seen(self.meta.began))
             else:
-                self.verdict.excused["asked at the very end"] += 1
+                self.verdict.tunnels_excluded["asked at the very end"] += 1
             return
-        self.verdict.judged += 1
+        self.verdict.tunnels_checked += 1
         first = one.answers[0]
         late = first.t - last - self._lag("clients", first.t)
         if first.how == "none":
@@ -224,11 +224,11 @@
 
     def _excused(self, asked: rec.Asked) -> bool:
         if self.meta.boxed_clients:
-            self.verdict.excused["behind a box between clients and balancers"] += 1
+            self.verdict.tunnels_excluded["behind a box between clients and balancers"] += 1
             return True
         until = asked.t + asked.patience + LATE
         if any(begin <= until and end >= asked.t - LATE for begin, end in self.away[asked.balancer]):
-            self.verdict.excused["at a balancer that was killed or paused"] += 1
+            self.verdict.tunnels_excluded["at a balancer that was killed or paused"] += 1
             return True
         return False
 
@@ -390,15 +390,15 @@
     return f"{at - began:9.3f}s {kind} " + " ".join(f"{name}={value}" for name, value in told.items())
 
 
-def report(verdict: Verdict) -> list[str]:
+def format_result(verdict: CheckResult) -> list[str]:
     """The verdict in lines, as a person reads it."""
     lines = [
-        f"rules: {'kept' if verdict.kept else 'BROKEN'}, {verdict.judged} tunnels judged"
-        + "".join(f", {count} {why}" for why, count in sorted(verdict.excused.items()))
+        f"rules: {'kept' if verdict.passed else 'BROKEN'}, {verdict.tunnels_checked} tunnels judged"
+        + "".join(f", {count} {why}" for why, count in sorted(verdict.tunnels_excluded.items()))
     ]
-    for rule, count in sorted(verdict.counts().items()):
-        for breach in [b for b in verdict.breaches if b.rule == rule][:SHOWN]:
-            lines += breach.lines()
+    for rule, count in sorted(verdict.violations_by_rule().items()):
+        for breach in [b for b in verdict.violations if b.rule == rule][:SHOWN]:
+            lines += breach.format_lines()
         if count > SHOWN:
             lines.append(f"    and {count - SHOWN} more of rule {rule}")
     return lines
--- a/pointgw/testbed/results.py
+++ b/pointgw/testbed/results.py
@@ -15,8 +15,8 @@
 from hdrh.histogram import HdrHistogram
 
 from pointgw.testbed import records as rec
+from pointgw.testbed.invariant_checker import CheckResult, format_result
 from pointgw.testbed.meta import Meta
-from pointgw.testbed.referee import Verdict, report
 
 SETTLED = 5.0  # seconds from the start that count as filling up
 BACK = 0.97  # of the service before a trouble at which it counts as over
@@ -67,7 +67,7 @@
     marks: list[tuple[float, float, str]]  # of troubles: begin, end, what
 
 
-def result(found: list[rec.AnyRecord], meta: Meta, verdict: Verdict) -> Result:
+def compute_result(found: list[rec.AnyRecord], meta: Meta, verdict: CheckResult) -> Result:
     per_second = [r for r in found if isinstance(r, rec.Second)]
     names = [profile.name for profile in meta.scenario.profile]
     settled = [r for r in per_second if r.t > meta.began + SETTLED and r.t <= meta.ended + 0.5]
@@ -100,11 +100,11 @@
         seed=meta.scenario.seed,
         service=sum(served) / sum(asked) if sum(asked) else 0.0,
         by_profile={n: s / a for n, s, a in zip(names, served, asked, strict=True) if a},
-        kept=verdict.kept and verdict.judged > 0,
-        breaches=verdict.counts(),
-        verdict=report(verdict),
-        judged=verdict.judged,
-        excused=dict(verdict.excused),
+        kept=verdict.passed and verdict.tunnels_checked > 0,
+        breaches=verdict.violations_by_rule(),
+        verdict=format_result(verdict),
+        judged=verdict.tunnels_checked,
+        excused=dict(verdict.tunnels_excluded),
         setups={f"p{q:g}": histogram.get_value_at_percentile(q) / 1e6 for q in QUANTILES} if opened else {},
         answers=dict(Counter(answer.how for answer in answers)),
         kept_long=kept_long,
@@ -112,8 +112,8 @@
         moves=ends["moved"],
         lost=ends["lost"],
         retries=sum(r.tries > 0 for r in tries.values()),
-        recovery=[_recovery(shares, begin, end, what) for begin, end, what in marks],
-        strain=strain(found, meta),
+        recovery=[_measure_recovery(shares, begin, end, what) for begin, end, what in marks],
+        strain=find_strain(found, meta),
         seconds=[round(share, 4) for share in shares],
         open=[r.open for r in per_second],
         loads=dict(loads),
@@ -136,7 +136,7 @@
     return sorted(out)
 
 
-def _recovery(shares: list[float], begin: float, end: float, what: str) -> Recovery:
+def _measure_recovery(shares: list[float], begin: float, end: float, what: str) -> Recovery:
     """The shares of seconds tell when service was back where it stood before."""
     first = max(1, int(begin))
     before = mean(shares[max(0, first - 5) : first] or [1.0])
@@ -155,7 +155,7 @@
     return Recovery(what, round(begin, 2), round(lowest, 3), back)
 
 
-def strain(found: list[rec.AnyRecord], meta: Meta) -> list[str]:
+def find_strain(found: list[rec.AnyRecord], meta: Meta) -> list[str]:
     """What was itself the limit in this run, so that it is not blamed on the balancer."""
     lags: dict[str, list[float]] = defaultdict(list)
     cpus: dict[str, list[float]] = defaultdict(list)
--- a/pointgw/testbed/play.py
+++ b/pointgw/testbed/run.py
@@ -24,7 +24,7 @@
 from pointgw.testbed.records import Balancer, Machine, Mark, Writer
 from pointgw.testbed.registry import Line
 from pointgw.testbed.scenario import Fleet, Scenario
-from pointgw.testbed.timeline import Moment, moments
+from pointgw.testbed.timeline import TimelineEvent, timeline_events
 
 READY = 20.0  # seconds that a part has to be ready
 AFTER = 2.5  # seconds after the end in which last answers still come
@@ -37,7 +37,7 @@
 Noted = Literal["killed", "stopping", "ended", "reloaded", "paused", "resumed"]
 
 
-class Void(Exception):
+class InvalidRunError(Exception):
     """The run can't be judged: a part of the rig itself failed. Its text names it."""
 
 
@@ -56,7 +56,7 @@
             self.process.stdin.write(msgspec.json.encode(command) + b"\n")
 
 
-class Play:
+class ScenarioRun:
     """One run of a scenario."""
 
     def __init__(
@@ -64,25 +64,25 @@
         scenario: Scenario,
         folder: Path,
         policy: str = "srlb",
-        live: Callable[[float], None] | None = None,
-        run: int | None = None,
-        between: Callable[[Path], None] | None = None,
+        on_progress: Callable[[float], None] | None = None,
+        run_number: int | None = None,
+        on_balancer_down: Callable[[Path], None] | None = None,
     ) -> None:
         if policy not in POLICIES:
             raise ValueError(f"expected one of {', '.join(POLICIES)}, got {policy!r}")
-        self.scenario, self.folder, self.policy, self.live = scenario, folder, policy, live
-        self.between = between  # called with a balancer's memory while it is down
-        self.layout = AddressPlan(os.getpid() if run is None else run)
+        self.scenario, self.folder, self.policy, self.on_progress = scenario, folder, policy, on_progress
+        self.on_balancer_down = on_balancer_down  # called with a balancer's memory while it is down
+        self.layout = AddressPlan(os.getpid() if run_number is None else run_number)
         self.fleet: Fleet = scenario.fleet
-        self.moments = moments(scenario)
-        self.parts: dict[str, Part] = {}
+        self.events = timeline_events(scenario)
+        self.components: dict[str, Part] = {}
         self.keeper: asyncio.subprocess.Process | None = None
         self.failed: asyncio.Future[None] | None = None
         self.starts: dict[int, int] = {}  # of each server so far
         self.runs: dict[int, int] = {}  # of each balancer's machine: how often its power came back
         self.began = 0.0
         self.tasks: set[asyncio.Task[None]] = set()
-        links = [m for m in self.moments if m.trouble.what == "links"]
+        links = [m for m in self.events if m.trouble.what == "links"]
         self.boxed_clients = any(m.trouble.side == "clients" for m in links)
         boxed = {n for m in links if m.trouble.side == "servers" for n in m.which}
         self.boxed_servers = tuple(sorted(boxed))
@@ -98,9 +98,9 @@
 
     # The whole run.
 
-    async def play(self) -> Meta:
+    async def execute(self) -> Meta:
         """Raises `Void` where a part of the rig failed. Nothing is left running, however it ends."""
-        self._clear()
+        self._remove_old_files()
         self.writer = Writer(str(self.folder / "rig.jsonl"))
         self.failed = asyncio.get_running_loop().create_future()
         try:
@@ -119,7 +119,7 @@
         (self.folder / "meta.json").write_bytes(msgspec.json.encode(meta))
         return meta
 
-    def _clear(self) -> None:
+    def _remove_old_files(self) -> None:
         """Guards a run from the records and memories of an earlier one in the same folder."""
         self.folder.mkdir(parents=True, exist_ok=True)
         for pattern in LEFT:
@@ -140,7 +140,7 @@
         await asyncio.gather(*(self._start_server(i, 0.0) for i in range(self.fleet.servers)))
         await self._start_discovery()
         await self._start_links()
-        if self.fleet.peers:
+        if self.fleet.has_peers:
             await self._start_peers()
         for number in range(self.fleet.balancers):
             await self._start_balancer(number)
@@ -150,13 +150,13 @@
                 while await clients.said.get() != "all in":
                     pass
         except TimeoutError:
-            raise Void("the balancers did not all answer PING; see their logs") from None
+            raise InvalidRunError("the balancers did not all answer PING; see their logs") from None
         for number in range(self.fleet.balancers):
             self.writer.write(Balancer(time.monotonic(), number, "serving"))
         self.began = time.monotonic() + BEGIN
         clients.tell({"what": "begin", "at": self.began})
         self._spawn(self._look())
-        for moment in self.moments:
+        for moment in self.events:
             await self._until(moment.at)
             self._mark(moment)
             self._spawn(self._do(moment))
@@ -180,11 +180,11 @@
         def done(task: asyncio.Task[None]) -> None:
             self.tasks.discard(task)
             if not task.cancelled() and task.exception() is not None:
-                self._fail(Void(f"the rig failed: {task.exception()!r}"))
+                self._fail(InvalidRunError(f"the rig failed: {task.exception()!r}"))
 
         task.add_done_callback(done)
 
-    def _fail(self, fault: Void) -> None:
+    def _fail(self, fault: InvalidRunError) -> None:
         if self.failed is not None and not self.failed.done():
             self.failed.set_exception(fault)
 
@@ -235,7 +235,7 @@
             )  # fmt: skip
         assert self.keeper is not None and self.keeper.stdin is not None
         self.keeper.stdin.write(f"+{process.pid}\n".encode())
-        part = self.parts[who] = Part(who, process)
+        part = self.components[who] = Part(who, process)
         part.watch = asyncio.ensure_future(self._watch(part))
         return part
 
@@ -253,7 +253,9 @@
             self.writer.write(Balancer(time.monotonic(), int(part.who[1:]), "died"))
             part.expected = True
         else:
-            self._fail(Void(f"{part.who} of the rig ended by itself (exit {code}); see {self.folder}"))
+            self._fail(
+                InvalidRunError(f"{part.who} of the rig ended by itself (exit {code}); see {self.folder}")
+            )
 
     async def _part(self, who: str, module: str, told: dict[str, Any]) -> Part:
         command = [sys.executable, "-O", "-m", f"pointgw.testbed.{module}"]
@@ -265,7 +267,9 @@
                 while await part.said.get() != "ready":
                     pass
         except TimeoutError:
-            raise Void(f"{who} was not ready within {READY:g} s; see {self.folder}/{who}.log") from None
+            raise InvalidRunError(
+                f"{who} was not ready within {READY:g} s; see {self.folder}/{who}.log"
+            ) from None
         return part
 
     async def _start_server(self, server: int, since: float) -> None:
@@ -312,7 +316,7 @@
             self.scenario, name, self._zone_of(number), self.scenario.seed * 1000 + number,
             self.layout.balancer(number), self.layout.discovery(number),
             [self._line(i, "up", 0.0) for i in range(self.fleet.servers)], self._addresses(number),
-            *(self._peers(number) if self.fleet.peers else ()),
+            *(self._peers(number) if self.fleet.has_peers else ()),
         )  # fmt: skip
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(told, indent=1))
@@ -351,11 +355,11 @@
 
     # The timeline.
 
-    def _mark(self, moment: Moment) -> None:
+    def _mark(self, moment: TimelineEvent) -> None:
         which = list(moment.which)
         self.writer.write(Mark(time.monotonic(), moment.number, moment.trouble.what, which, moment.ends))
 
-    async def _do(self, moment: Moment) -> None:
+    async def _do(self, moment: TimelineEvent) -> None:
         trouble = moment.trouble
         kind, _, act = trouble.what.partition("-")
         if kind == "balancer":
@@ -365,12 +369,12 @@
         elif kind == "discovery":
             self._discovery(moment, act)
         elif trouble.what == "clients-dropped" and not moment.ends:
-            self.parts["clients"].tell({"what": "drop", "size": trouble.size})
+            self.components["clients"].tell({"what": "drop", "size": trouble.size})
         elif trouble.what == "slow-readers" and not moment.ends:
-            self.parts["clients"].tell({"what": "slow", "size": trouble.size})
+            self.components["clients"].tell({"what": "slow", "size": trouble.size})
         elif kind == "peers":
             told = {"what": trouble.what, "which": list(moment.which), "size": trouble.size}
-            self.parts["peers"].tell(told | {"late": trouble.late, "on": not moment.ends})
+            self.components["peers"].tell(told | {"late": trouble.late, "on": not moment.ends})
         elif trouble.what == "links":
             rules = [] if moment.ends else [msgspec.to_builtins(rule) for rule in trouble.rule]
             names = [
@@ -378,16 +382,16 @@
                 for n in moment.which
                 for b in (trouble.of or range(self.fleet.balancers) if trouble.side == "servers" else (0,))
             ]
-            self.parts["links"].tell({"names": names, "rule": rules})
+            self.components["links"].tell({"names": names, "rule": rules})
 
     def _signal(self, who: str, name: signal.Signals) -> None:
-        process = self.parts[who].process
+        process = self.components[who].process
         if process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(name)
 
     async def _kill(self, who: str) -> None:
-        part = self.parts[who]
+        part = self.components[who]
         part.expected = True
         self._signal(who, signal.SIGKILL)
         await part.process.wait()
@@ -395,16 +399,16 @@
     def _noted(self, number: int, what: Noted) -> None:
         self.writer.write(Balancer(time.monotonic(), number, what))
 
-    async def _balancer(self, number: int, moment: Moment) -> None:
+    async def _balancer(self, number: int, moment: TimelineEvent) -> None:
         who, what = f"n{number}", moment.trouble.what
         if moment.ends:
             if what == "balancer-pause":
                 self._signal(who, signal.SIGCONT)
                 self._noted(number, "resumed")
             elif what in ("balancer-kill", "balancer-stop"):
-                await self.parts[who].process.wait()
-                if self.between is not None:
-                    self.between(self.folder / f"state-{who}")
+                await self.components[who].process.wait()
+                if self.on_balancer_down is not None:
+                    self.on_balancer_down(self.folder / f"state-{who}")
                 await self._start_balancer(number)
                 await self._answers(number)
             return
@@ -415,11 +419,11 @@
                 await self._kill(who)
             case "balancer-stop":
                 self._noted(number, "stopping")
-                self.parts[who].expected = True
+                self.components[who].expected = True
                 self._signal(who, signal.SIGTERM)
                 try:
                     async with asyncio.timeout(ENDS):
-                        await self.parts[who].process.wait()
+                        await self.components[who].process.wait()
                     self._noted(number, "ended")
                 except TimeoutError:
                     self._noted(number, "killed")
@@ -445,12 +449,12 @@
                         return
             await asyncio.sleep(0.1)
 
-    async def _server(self, server: int, moment: Moment, act: str) -> None:
+    async def _server(self, server: int, moment: TimelineEvent, act: str) -> None:
         who, trouble = self._name(server), moment.trouble
         if trouble.what == "server-start" or (moment.ends and act in ("kill", "drain")):
             if moment.ends and trouble.what == "server-start":
                 return
-            if who in self.parts and self.parts[who].process.returncode is None:
+            if who in self.components and self.components[who].process.returncode is None:
                 await self._kill(who)
             since = time.time()
             await self._start_server(server, since)
@@ -459,32 +463,32 @@
         elif act == "kill":
             await self._kill(who)
             await asyncio.sleep(trouble.late)
-            if self.parts[who].process.returncode is not None:
+            if self.components[who].process.returncode is not None:
                 self._list(self._line(server, "removed", 0.0))
         elif act == "drain":
             self._list(self._line(server, "draining", 0.0))
             # Told first: the server itself turns new ones away once the grace is over.
             await asyncio.sleep(self.fleet.drain_grace)
-            self.parts[who].tell({"what": "drain", "seconds": max(1.0, trouble.seconds - 1.0)})
+            self.components[who].tell({"what": "drain", "seconds": max(1.0, trouble.seconds - 1.0)})
             if trouble.seconds:
                 await asyncio.sleep(max(0.0, trouble.seconds - self.fleet.drain_grace - 0.8))
                 self._list(self._line(server, "removed", 0.0))
         elif act == "pause":
             self._signal(who, signal.SIGCONT if moment.ends else signal.SIGSTOP)
         elif moment.ends:
-            self.parts[who].tell({"what": "well"})
+            self.components[who].tell({"what": "well"})
         else:
-            self.parts[who].tell({"what": act, "size": trouble.size})
+            self.components[who].tell({"what": act, "size": trouble.size})
 
     def _list(self, line: Line) -> None:
-        self.parts["discovery"].tell({"what": "change", "line": asdict(line)})
+        self.components["discovery"].tell({"what": "change", "line": asdict(line)})
 
-    def _discovery(self, moment: Moment, act: str) -> None:
+    def _discovery(self, moment: TimelineEvent, act: str) -> None:
         if act == "lower":
             if not moment.ends:
-                self.parts["discovery"].tell({"what": "lower"})
+                self.components["discovery"].tell({"what": "lower"})
         else:
-            self.parts["discovery"].tell({"what": "serve", "how": "well" if moment.ends else act})
+            self.components["discovery"].tell({"what": "serve", "how": "well" if moment.ends else act})
 
     # The machine, and the end.
 
@@ -497,16 +501,16 @@
             spent, idle = sum(after) - sum(before), after[3] - before[3]
             before = after
             self.writer.write(Machine(time.monotonic(), idle / spent if spent else 1.0))
-            if self.live is not None:
-                self.live(time.monotonic() - self.began)
+            if self.on_progress is not None:
+                self.on_progress(time.monotonic() - self.began)
 
     async def _end_all(self) -> None:
         for task in list(self.tasks):
             task.cancel()
-        for who, part in self.parts.items():
+        for who, part in self.components.items():
             part.expected = True
             self._signal(who, signal.SIGKILL)
-        for part in self.parts.values():
+        for part in self.components.values():
             await part.process.wait()
             if part.watch is not None:
                 await part.watch
--- a/pointgw/testbed/scenario.py
+++ b/pointgw/testbed/scenario.py
@@ -72,7 +72,7 @@
     recovers: bool = False  # balancers lend one another cold room: peers for them, and `[recovery]`
 
     @property
-    def peers(self) -> bool:
+    def has_peers(self) -> bool:
         """Whether balancers hear one another."""
         return self.talks or self.recovers
 
@@ -162,7 +162,7 @@
                     yield f"trouble[{i}].which", number, f"numbers under {most}"
             if any(number >= self.fleet.balancers for number in trouble.of):
                 yield f"trouble[{i}].of", trouble.of, f"numbers under {self.fleet.balancers}"
-            if trouble.target == "peers" and not self.fleet.peers:
+            if trouble.target == "peers" and not self.fleet.has_peers:
                 yield f"trouble[{i}].what", trouble.what, "fleet.talks or recovers, so that there are peers"
             if trouble.what == "links" and not trouble.rule:
                 yield f"trouble[{i}].rule", (), "at least one rule, as what is 'links'"
@@ -174,18 +174,18 @@
     """A scenario by its path, or by its name in the library. Raises `validation.InvalidFileError`."""
     path = Path(name)
     if not path.suffix and not path.exists():
-        if name not in library():
-            known = "a file, or one of " + ", ".join(library())
+        if name not in scenario_names():
+            known = "a file, or one of " + ", ".join(scenario_names())
             raise validation.InvalidFileError(name, [validation.InvalidValue("", "", known)])
         path = LIBRARY / f"{name}.toml"
     return validation.read(path, Scenario)
 
 
-def library() -> list[str]:
+def scenario_names() -> list[str]:
     return sorted(path.stem for path in LIBRARY.glob("*.toml"))
 
 
-def settings(scenario: Scenario, zone: int) -> dict[str, Any]:
+def balancer_settings(scenario: Scenario, zone: int) -> dict[str, Any]:
     """What a balancer is told of the deployment, in the start-up file's words; times in milliseconds."""
     fleet = scenario.fleet
     capacity = fleet.servers / (scenario.demand.load or 1.0)
--- a/pointgw/testbed/alone.py
+++ b/pointgw/testbed/stand_in.py
@@ -22,7 +22,7 @@
 from pointgw.testbed.server import Server
 
 
-class Alone:
+class StandIn:
     """`servers` servers on ports from `listen`'s on (0: free ones), and discovery."""
 
     def __init__(
--- a/pointgw/testbed/start_up.py
+++ b/pointgw/testbed/start_up.py
@@ -9,7 +9,7 @@
 from pointgw.testbed.address_plan import Address, format_address
 from pointgw.testbed.demand import mean_tunnel_work
 from pointgw.testbed.registry import Line, endpoint_entry
-from pointgw.testbed.scenario import Scenario, settings
+from pointgw.testbed.scenario import Scenario, balancer_settings
 from pointgw.testbed.server_model import Make
 
 BALANCER_DESCRIPTOR_LIMIT = 60_000  # file descriptors that a balancer is configured for
@@ -54,7 +54,7 @@
         "seed": f"{seed:x}",
         "limits": {"sockets": BALANCER_DESCRIPTOR_LIMIT},
         "known": {"index": 0, "snapshot": True, "endpoints": endpoints},
-        "settings": settings(scenario, zone),
+        "settings": balancer_settings(scenario, zone),
     }  # fmt: skip
     if peers is not None and peer_listen is not None:
         start_file |= {
--- a/pointgw/testbed/table.py
+++ b/pointgw/testbed/table.py
@@ -5,7 +5,7 @@
 from pointgw.testbed.results import Result, compare, spread
 
 
-def rows(results: list[Result]) -> list[str]:
+def format_results(results: list[Result]) -> list[str]:
     """One run, or several seeds of one scenario and policy with their spread."""
     first = results[0]
     services = spread([r.service for r in results])
@@ -46,7 +46,7 @@
     return lines
 
 
-def side_by_side(one: list[Result], other: list[Result]) -> list[str]:
+def format_comparison(one: list[Result], other: list[Result]) -> list[str]:
     """Two results of the same scenarios."""
     lines = []
     pairs = (
--- a/pointgw/testbed/timeline.py
+++ b/pointgw/testbed/timeline.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
+class TimelineEvent:
     """A trouble begins, or ends."""
 
     at: float  # seconds from the scenario's start
@@ -19,7 +19,7 @@
     ends: bool
 
 
-def moments(scenario: Scenario) -> list[Moment]:
+def timeline_events(scenario: Scenario) -> list[TimelineEvent]:
     """In order of time. Who is hit by chance is drawn from the scenario's seed."""
     fleet, found = scenario.fleet, []
     for number, trouble in enumerate(scenario.trouble):
@@ -35,7 +35,7 @@
             which = tuple(range(fleet.servers if trouble.side == "servers" else fleet.balancers))
         elif trouble.what == "server-start" and not trouble.which:
             which = tuple(pool[: trouble.count])
-        found.append(Moment(trouble.at, number, trouble, which, False))
+        found.append(TimelineEvent(trouble.at, number, trouble, which, False))
         if trouble.seconds:
-            found.append(Moment(trouble.at + trouble.seconds, number, trouble, which, True))
+            found.append(TimelineEvent(trouble.at + trouble.seconds, number, trouble, which, True))
     return sorted(found, key=lambda moment: (moment.at, moment.number, moment.ends))
--- a/tests/fleet/case_runner.py
+++ b/tests/fleet/case_runner.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 
 from pointgw.testbed import records as rec
+from pointgw.testbed.invariant_checker import CheckResult, check_records
 from pointgw.testbed.meta import Meta
-from pointgw.testbed.play import Play
-from pointgw.testbed.referee import Verdict, judge
-from pointgw.testbed.results import Result, result
+from pointgw.testbed.results import Result, compute_result
+from pointgw.testbed.run import ScenarioRun
 from pointgw.testbed.scenario import Demand, Fleet, Kind, Scenario, Trouble
 
 MAX_CONCURRENT_CASES = 3  # as many as eight cores can bear besides other work
@@ -56,14 +56,14 @@
 
     meta: Meta
     records: list[rec.AnyRecord]
-    verdict: Verdict
+    verdict: CheckResult
     result: Result
 
     def check(self, judged: int) -> None:
         """Asserts that no rule was violated and no cold server overloaded, judged by more than so many
         tunnels."""
-        assert self.verdict.kept and not self.overloaded_servers(), self.result.verdict
-        assert self.verdict.judged > judged
+        assert self.verdict.passed and not self.overloaded_servers(), self.result.verdict
+        assert self.verdict.tunnels_checked > judged
 
     def overloaded_servers(self) -> list[str]:
         """Cold servers that were overloaded."""
@@ -116,12 +116,12 @@
                 await asyncio.sleep(START_INTERVAL * (index % MAX_CONCURRENT_CASES))
                 case_folder = folder / name.replace(" ", "-")
                 scenario = case.scenario(name)
-                meta = await Play(
-                    scenario, case_folder, run=os.getpid() + index, between=case.while_down
-                ).play()
+                meta = await ScenarioRun(
+                    scenario, case_folder, run_number=os.getpid() + index, on_balancer_down=case.while_down
+                ).execute()
                 records = rec.read(case_folder)
-                verdict = judge(records, meta)
-                return name, CaseRun(meta, records, verdict, result(records, meta, verdict))
+                verdict = check_records(records, meta)
+                return name, CaseRun(meta, records, verdict, compute_result(records, meta, verdict))
 
         return dict(await asyncio.gather(*(run_one(i, *item) for i, item in enumerate(cases.items()))))
 
--- a/tests/test_referee.py
+++ b/tests/test_invariant_checker.py
@@ -7,8 +7,8 @@
 import pytest
 
 from pointgw.testbed import records as rec
+from pointgw.testbed.invariant_checker import check_records
 from pointgw.testbed.meta import Meta
-from pointgw.testbed.referee import judge
 from pointgw.testbed.scenario import Fleet, Profile, Scenario
 
 PROFILES = (
@@ -51,12 +51,12 @@
 
 def broken(found: Sequence[rec.AnyRecord], about: Meta | None = None) -> list[int]:
     ordered = sorted([*found, rec.Machine(40.0, 1.0)], key=lambda record: record.t)
-    return [breach.rule for breach in judge(ordered, about or meta()).breaches]
+    return [breach.rule for breach in check_records(ordered, about or meta()).violations]
 
 
 def test_a_sound_run_is_kept_and_counted() -> None:
-    verdict = judge(GOOD, meta())
-    assert verdict.kept and verdict.judged == 2
+    verdict = check_records(GOOD, meta())
+    assert verdict.passed and verdict.tunnels_checked == 2
 
 
 @pytest.mark.parametrize(
@@ -159,9 +159,9 @@
 
 
 def test_a_breach_names_tunnel_times_and_what_was_seen() -> None:
-    verdict = judge([asked(), answered(11.9, "none", "")], meta())
-    (breach,) = verdict.breaches
-    lines = breach.lines()
+    verdict = check_records([asked(), answered(11.9, "none", "")], meta())
+    (breach,) = verdict.violations
+    lines = breach.format_lines()
     assert "tunnel a" in lines[0] and "11.900s" in lines[0] and len(lines) == 3
     assert "asked" in lines[1] and "balancer=0" in lines[1]
 
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -22,12 +22,12 @@
 from pointgw.testbed import results
 from pointgw.testbed.demand import client_arrivals, mean_tunnel_work
 from pointgw.testbed.frontend import BalancerHealth, HealthState, pick_balancer
-from pointgw.testbed.play import Play, Void
-from pointgw.testbed.referee import judge
+from pointgw.testbed.invariant_checker import check_records
 from pointgw.testbed.registry import AnswerMode, Line, Registry
-from pointgw.testbed.scenario import Demand, Fleet, Kind, Scenario, Trouble, library, read
+from pointgw.testbed.run import InvalidRunError, ScenarioRun
+from pointgw.testbed.scenario import Demand, Fleet, Kind, Scenario, Trouble, read, scenario_names
 from pointgw.testbed.server_model import Health, Make, ServedTunnel, ServerModel
-from pointgw.testbed.timeline import moments
+from pointgw.testbed.timeline import timeline_events
 
 MAKE = Make(1.0, 100, 0.1, 0.01, 0.001, 0.2, 10.0, 3.0, 2.0, 0.5, 3.0, 0.1)
 
@@ -129,11 +129,11 @@
 
 def test_faults_hit_the_same_targets_for_a_seed() -> None:
     scenario = read("demo")
-    assert moments(scenario) == moments(scenario)
-    for name in library():
-        for moment in moments(read(name)):
+    assert timeline_events(scenario) == timeline_events(scenario)
+    for name in scenario_names():
+        for moment in timeline_events(read(name)):
             assert moment.which or moment.trouble.target in ("discovery", "clients")
-    assert len(library()) >= 14
+    assert len(scenario_names()) >= 14
 
 
 @pytest.mark.parametrize(
@@ -156,10 +156,10 @@
 
 def test_recovery_time_follows_from_the_share_served_each_second() -> None:
     shares = [1.0] * 10 + [0.5, 0.6, 0.9, 1.0, 1.0, 1.0, 1.0]
-    found = results._recovery(shares, 10.25, 11.0, "x")
+    found = results._measure_recovery(shares, 10.25, 11.0, "x")
     assert found == results.Recovery("x", 10.25, 0.5, 2.75)
-    assert results._recovery([1.0] * 10 + [0.5] * 6, 10.0, 11.0, "x").seconds is None
-    assert results._recovery([1.0] * 20, 10.0, 11.0, "x") == results.Recovery("x", 10.0, 1.0, 0.0)
+    assert results._measure_recovery([1.0] * 10 + [0.5] * 6, 10.0, 11.0, "x").seconds is None
+    assert results._measure_recovery([1.0] * 20, 10.0, 11.0, "x") == results.Recovery("x", 10.0, 1.0, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -177,13 +177,13 @@
 
 
 def test_a_testbed_process_that_is_the_bottleneck_is_named() -> None:
-    run = Play(read("calm"), Path("unused"))
+    run = ScenarioRun(read("calm"), Path("unused"))
     found: list[rec.AnyRecord] = [rec.Strain(float(t), "clients", 0.2, 0.95) for t in range(1, 9)]
     found += [rec.Strain(float(t), "s-1", 0.0, 0.1) for t in range(1, 9)]
     found += [rec.Machine(float(t), 0.02) for t in range(1, 9)]
     from pointgw.testbed.meta import Meta
 
-    warnings = results.strain(found, Meta(run.scenario, "srlb", 0.0, 10.0, False, (), {}, {}))
+    warnings = results.find_strain(found, Meta(run.scenario, "srlb", 0.0, 10.0, False, (), {}, {}))
     assert len(warnings) == 3 and all("clients" in text or "machine" in text for text in warnings)
 
 
@@ -210,27 +210,27 @@
 
 
 def test_a_run_with_two_killed_processes_keeps_the_rules_and_leaves_no_process(tmp_path: Path) -> None:
-    meta = asyncio.run(Play(SHORT, tmp_path).play())
+    meta = asyncio.run(ScenarioRun(SHORT, tmp_path).execute())
     found = rec.read(tmp_path)
-    verdict = judge(found, meta)
-    assert verdict.kept and verdict.judged > 60, verdict.breaches
-    result = results.result(found, meta, verdict)
+    verdict = check_records(found, meta)
+    assert verdict.passed and verdict.tunnels_checked > 60, verdict.violations
+    result = results.compute_result(found, meta, verdict)
     assert result.service > 0.2 and result.answers["opened"] > 60 and result.setups["p50"] < 1.0
     assert [recovery.what for recovery in result.recovery] == ["server-kill", "balancer-kill"]
     assert not processes_of(tmp_path)
     # The same records without one answer have to violate the rules.
     first = next(r for r in found if isinstance(r, rec.Answered) and r.how == "opened")
-    assert not judge([r for r in found if r is not first], meta).kept
+    assert not check_records([r for r in found if r is not first], meta).passed
 
 
 def test_a_run_is_void_when_a_testbed_process_dies(tmp_path: Path) -> None:
     async def run() -> None:
-        play = Play(SHORT, tmp_path)
-        playing = asyncio.create_task(play.play())
-        while "clients" not in play.parts:
+        play = ScenarioRun(SHORT, tmp_path)
+        playing = asyncio.create_task(play.execute())
+        while "clients" not in play.components:
             await asyncio.sleep(0.05)
-        play.parts["s-2"].process.kill()
-        with pytest.raises(Void, match="s-2"):
+        play.components["s-2"].process.kill()
+        with pytest.raises(InvalidRunError, match="s-2"):
             await playing
 
     asyncio.run(run())
@@ -262,7 +262,7 @@
     (tmp_path / "state-n0").mkdir()
     for name in ("state-n0/state.1", "s-9.jsonl", "n0.toml", "kept.txt"):
         (tmp_path / name).write_text("old")
-    Play(SHORT, tmp_path)._clear()
+    ScenarioRun(SHORT, tmp_path)._remove_old_files()
     assert [path.name for path in tmp_path.iterdir()] == ["kept.txt"]
 
 
