--- a/pointgw/testbed/baseline.py
+++ b/pointgw/testbed/baseline.py
@@ -36,11 +36,11 @@
 class RoundRobin(PlainRandom):
     """Each active server in turn."""
 
-    turn = 0
+    placements = 0
 
     def _draw_candidates(self, tun: Tunnel, ready: list[Server]) -> list[Server]:
-        self.turn += 1
-        return [ready[self.turn % len(ready)]]
+        self.placements += 1
+        return [ready[self.placements % len(ready)]]
 
 
 def main() -> int:
--- a/pointgw/testbed/invariant_checker.py
+++ b/pointgw/testbed/invariant_checker.py
@@ -22,11 +22,11 @@
 from pointgw.testbed.scenario import Profile
 from pointgw.testbed.server_model import SETUP_BUDGET_SLACK as COLD_SLACK
 
-LATE = 0.05  # seconds beyond each limit that sockets and timers take
-DEEMED = 6.0  # seconds after which what discovery has to tell counts as told
-TWO_OUT = 0.05  # seconds that a setup given up may still be seen at its server
-END_SPARE = 0.5  # seconds before the last answers are waited for, in which a try is not judged
-SHOWN = 8  # breaches of a rule that are told in full
+TIMING_TOLERANCE_SECONDS = 0.05  # seconds beyond each limit that sockets and timers take
+ASSUMED_NOTIFIED_SECONDS = 6.0  # seconds after which what discovery has to tell counts as told
+OVERLAP_TOLERANCE_SECONDS = 0.05  # seconds that a setup given up may still be seen at its server
+END_MARGIN_SECONDS = 0.5  # seconds before the last answers are waited for, in which a try is not judged
+MAX_VIOLATIONS_SHOWN = 8  # breaches of a rule that are told in full
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,13 +37,13 @@
     at: float  # seconds from the scenario's start
     tunnel: str
     text: str
-    seen: tuple[str, ...] = ()  # all that is known of the tunnel, in order
+    history: tuple[str, ...] = ()  # all that is known of the tunnel, in order
 
     def format_lines(self) -> list[str]:
         name = f"rule {self.rule}" if self.rule else "crash"
         about = f" tunnel {self.tunnel}" if self.tunnel else ""
         first = f"{name} broken at {self.at:.3f}s{about}: {self.text}"
-        return [first, *("    " + line for line in self.seen)]
+        return [first, *("    " + line for line in self.history)]
 
 
 @dataclass(slots=True)
@@ -61,23 +61,23 @@
 
 
 @dataclass(slots=True)
-class Try:
+class TunnelRecords:
     """All that is known of one tunnel id."""
 
     asked: rec.Asked | None = None
     answers: list[rec.Answered] = field(default_factory=list)
     further: list[rec.Further] = field(default_factory=list)
     took: list[rec.Took] = field(default_factory=list)
-    says: list[rec.Said] = field(default_factory=list)
+    said: list[rec.Said] = field(default_factory=list)
     gone: list[rec.Gone] = field(default_factory=list)
     ended: list[rec.Ended] = field(default_factory=list)
 
-    def seen(self, began: float) -> tuple[str, ...]:
+    def history(self, began: float) -> tuple[str, ...]:
         all_records: list[rec.AnyRecord] = [
-            *([self.asked] if self.asked else []), *self.took, *self.says, *self.gone, *self.answers,
+            *([self.asked] if self.asked else []), *self.took, *self.said, *self.gone, *self.answers,
             *self.further, *self.ended,
         ]  # fmt: skip
-        return tuple(_shown(record, began) for record in sorted(all_records, key=lambda r: r.t))
+        return tuple(_format_record(record, began) for record in sorted(all_records, key=lambda r: r.t))
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,131 +85,137 @@
     """One setup as its server saw it."""
 
     server: str
-    took: float
-    said: str  # its answer, or nothing
-    over: float  # when it was over there
-    timed: bool  # its server's word on times can be taken
+    received_at: float
+    answer: str  # its answer, or nothing
+    ended_at: float  # when it was over there
+    times_reliable: bool  # its server's word on times can be taken
 
     @property
     def may_have_run(self) -> bool:
-        return self.said != "BUSY"
+        return self.answer != "BUSY"
 
 
 def check_records(found: list[rec.AnyRecord], meta: Meta) -> CheckResult:
     """Raises nothing: a run without records has nothing judged, which the caller must not call kept."""
-    return InvariantChecker(found, meta).judge()
+    return InvariantChecker(found, meta).check()
 
 
 class InvariantChecker:
     def __init__(self, found: list[rec.AnyRecord], meta: Meta) -> None:
-        self.meta, self.found = meta, found
-        self.boxed = {f"s-{number}" for number in meta.boxed_servers}
-        self.verdict = CheckResult()
-        self.tries: dict[str, Try] = defaultdict(Try)
+        self.meta, self.records = meta, found
+        self.proxied_servers = {f"s-{number}" for number in meta.boxed_servers}
+        self.result = CheckResult()
+        self.tunnels: dict[str, TunnelRecords] = defaultdict(TunnelRecords)
         self.receipts: set[tuple[str, str]] = set()
-        self.away: dict[int, list[tuple[float, float]]] = defaultdict(list)  # when a balancer could not act
-        self.stood: dict[str, list[tuple[float, float]]] = defaultdict(list)  # when a server was paused
+        self.balancer_outages: dict[int, list[tuple[float, float]]] = defaultdict(
+            list
+        )  # when a balancer could not act
+        self.server_pauses: dict[str, list[tuple[float, float]]] = defaultdict(
+            list
+        )  # when a server was paused
         # When a part of the rig was late, and how much.
         self.lags: dict[str, list[tuple[float, float]]] = defaultdict(list)
-        self.kills: dict[str, list[float]] = defaultdict(list)  # when a server's process was ended
-        self.starts: dict[str, list[float]] = defaultdict(list)  # when one was started
-        self.started: dict[int, list[float]] = defaultdict(list)  # when a balancer's was
-        self._sort()
+        self.server_kills: dict[str, list[float]] = defaultdict(list)  # when a server's process was ended
+        self.server_starts: dict[str, list[float]] = defaultdict(list)  # when one was started
+        self.balancer_starts: dict[int, list[float]] = defaultdict(list)  # when a balancer's was
+        self._index_records()
 
-    def _sort(self) -> None:
+    def _index_records(self) -> None:
         since: dict[int, float] = {}
         paused: dict[str, float] = {}
-        for record in self.found:
+        for record in self.records:
             match record:
                 case rec.Asked():
-                    self.tries[record.name].asked = record
+                    self.tunnels[record.name].asked = record
                 case rec.Answered():
-                    self.tries[record.name].answers.append(record)
+                    self.tunnels[record.name].answers.append(record)
                 case rec.Further():
-                    self.tries[record.name].further.append(record)
+                    self.tunnels[record.name].further.append(record)
                 case rec.Took():
-                    self.tries[record.name].took.append(record)
+                    self.tunnels[record.name].took.append(record)
                 case rec.Said():
-                    self.tries[record.name].says.append(record)
+                    self.tunnels[record.name].said.append(record)
                     self.receipts.add((record.name, record.line))
                 case rec.Gone():
-                    self.tries[record.name].gone.append(record)
+                    self.tunnels[record.name].gone.append(record)
                 case rec.Ended():
-                    self.tries[record.name].ended.append(record)
+                    self.tunnels[record.name].ended.append(record)
                 case rec.Started():
                     # What its process before held is gone, which nobody there wrote down.
-                    self.starts[record.server].append(record.t)
+                    self.server_starts[record.server].append(record.t)
                 case rec.Balancer(what="started"):
-                    self.started[record.number].append(record.t)
+                    self.balancer_starts[record.number].append(record.t)
                 case rec.Balancer(what="killed" | "paused" | "died" | "ended"):
                     since.setdefault(record.number, record.t)
                 case rec.Balancer(what="serving" | "resumed"):
                     if record.number in since:
-                        self.away[record.number].append((since.pop(record.number), record.t))
+                        self.balancer_outages[record.number].append((since.pop(record.number), record.t))
                 case rec.Mark(what="server-kill" | "server-drain"):
                     for number in record.which:
-                        self.kills[f"s-{number}"].append(record.t)
+                        self.server_kills[f"s-{number}"].append(record.t)
                 case rec.Mark(what="server-pause"):
                     for number in record.which:
                         if not record.ends:
                             paused[f"s-{number}"] = record.t
                         elif f"s-{number}" in paused:
-                            self.stood[f"s-{number}"].append((paused.pop(f"s-{number}"), record.t))
-                case rec.Strain() if record.lag > LATE / 2:
+                            self.server_pauses[f"s-{number}"].append((paused.pop(f"s-{number}"), record.t))
+                case rec.Strain() if record.lag > TIMING_TOLERANCE_SECONDS / 2:
                     self.lags[record.who].append((record.t, record.lag))
                 case _:
                     pass
         for number, at in since.items():
-            self.away[number].append((at, inf))
+            self.balancer_outages[number].append((at, inf))
         for name, at in paused.items():
-            self.stood[name].append((at, inf))
-
-    def judge(self) -> CheckResult:
-        for name, one in self.tries.items():
-            self._answers(name, one)
-            self._effects(name, one)
-        self._drains()
-        self._cold()
-        for record in self.found:
+            self.server_pauses[name].append((at, inf))
+
+    def check(self) -> CheckResult:
+        for name, one in self.tunnels.items():
+            self._check_answers(name, one)
+            self._check_effects(name, one)
+        self._check_drains()
+        self._check_cold_servers()
+        for record in self.records:
             if isinstance(record, rec.Balancer) and record.what == "died":
-                self._broken(0, record.t, "", f"balancer n{record.number} ended by itself")
-        self.verdict.violations.sort(key=lambda breach: (breach.rule, breach.at))
-        return self.verdict
+                self._add_violation(0, record.t, "", f"balancer n{record.number} ended by itself")
+        self.result.violations.sort(key=lambda breach: (breach.rule, breach.at))
+        return self.result
 
-    def _broken(self, rule: int, at: float, tunnel: str, text: str, seen: tuple[str, ...] = ()) -> None:
-        self.verdict.violations.append(Violation(rule, at - self.meta.began, tunnel, text, seen))
+    def _add_violation(
+        self, rule: int, at: float, tunnel: str, text: str, seen: tuple[str, ...] = ()
+    ) -> None:
+        self.result.violations.append(Violation(rule, at - self.meta.began, tunnel, text, seen))
 
     # Rule 1.
 
-    def _answers(self, name: str, one: Try) -> None:
+    def _check_answers(self, name: str, one: TunnelRecords) -> None:
         asked = one.asked
         if asked is None:
             if one.took:
                 where = one.took[0].server
-                self._broken(1, one.took[0].t, name, f"{where} got a tunnel that no client asked for")
+                self._add_violation(1, one.took[0].t, name, f"{where} got a tunnel that no client asked for")
             return
-        if self._excused(asked):
+        if self._is_excluded(asked):
             return
-        last = asked.t + asked.patience + LATE
+        last = asked.t + asked.patience + TIMING_TOLERANCE_SECONDS
         if not one.answers:
-            if last + END_SPARE < self._heard_until():
+            if last + END_MARGIN_SECONDS < self._last_record_time():
                 text = "neither an answer nor an end reached its client"
-                self._broken(1, last, name, text, one.seen(self.meta.began))
+                self._add_violation(1, last, name, text, one.history(self.meta.began))
             else:
-                self.verdict.tunnels_excluded["asked at the very end"] += 1
+                self.result.tunnels_excluded["asked at the very end"] += 1
             return
-        self.verdict.tunnels_checked += 1
+        self.result.tunnels_checked += 1
         first = one.answers[0]
-        late = first.t - last - self._lag("clients", first.t)
+        late = first.t - last - self._lag_at("clients", first.t)
         if first.how == "none":
             text = f"no answer within {asked.patience:g} s"
         elif first.how == "lost":
             text = "its connection ended without an answer"
         elif late > 0:
-            text = f"answered {late + LATE:.3f} s after its client timeout"
+            text = f"answered {late + TIMING_TOLERANCE_SECONDS:.3f} s after its client timeout"
         elif len(one.answers) > 1:
             text = f"{len(one.answers)} final answers"
-        elif any(took.server in self.boxed for took in one.took):
+        elif any(took.server in self.proxied_servers for took in one.took):
             return  # what came after, and the receipt, may be the box's work
         elif one.further:
             text = f"something after its answer: {one.further[0].line!r}"
@@ -217,105 +223,114 @@
             text = f"opened with {first.line!r}, which no server gave"
         else:
             return
-        self._broken(1, first.t, name, text, one.seen(self.meta.began))
+        self._add_violation(1, first.t, name, text, one.history(self.meta.began))
 
-    def _heard_until(self) -> float:
-        return max((r.t for r in self.found), default=0.0)
+    def _last_record_time(self) -> float:
+        return max((r.t for r in self.records), default=0.0)
 
-    def _excused(self, asked: rec.Asked) -> bool:
+    def _is_excluded(self, asked: rec.Asked) -> bool:
         if self.meta.boxed_clients:
-            self.verdict.tunnels_excluded["behind a box between clients and balancers"] += 1
+            self.result.tunnels_excluded["behind a box between clients and balancers"] += 1
             return True
-        until = asked.t + asked.patience + LATE
-        if any(begin <= until and end >= asked.t - LATE for begin, end in self.away[asked.balancer]):
-            self.verdict.tunnels_excluded["at a balancer that was killed or paused"] += 1
+        until = asked.t + asked.patience + TIMING_TOLERANCE_SECONDS
+        if any(
+            begin <= until and end >= asked.t - TIMING_TOLERANCE_SECONDS
+            for begin, end in self.balancer_outages[asked.balancer]
+        ):
+            self.result.tunnels_excluded["at a balancer that was killed or paused"] += 1
             return True
         return False
 
-    def _lag(self, who: str, at: float) -> float:
+    def _lag_at(self, who: str, at: float) -> float:
         """How late a part of the rig may itself have been then."""
         return max((lag for t, lag in self.lags[who] if t - 1.2 <= at <= t + 0.2), default=0.0)
 
     # Rule 2.
 
-    def _setups(self, one: Try) -> list[Setup]:
+    def _setups_in_order(self, one: TunnelRecords) -> list[Setup]:
         setups = []
         for took in sorted(one.took, key=lambda took: took.t):
-            said = next((s for s in one.says if s.server == took.server and s.t >= took.t), None)
+            said = next((s for s in one.said if s.server == took.server and s.t >= took.t), None)
             gone = next((g for g in one.gone if g.server == took.server and g.t >= took.t), None)
             word = said.line.split(" ")[0] if said is not None else ""
             over = [inf if gone is None else gone.t]
             if said is not None and word != "UP":
                 over.append(said.t)
-            over += [t for t in self.starts[took.server] if t > took.t][:1]
-            timed = not self._disturbed(took)
+            over += [t for t in self.server_starts[took.server] if t > took.t][:1]
+            timed = not self._times_unreliable(took)
             setups.append(Setup(took.server, took.t, word, min(over), timed))
         return setups
 
-    def _disturbed(self, took: rec.Took) -> bool:
+    def _times_unreliable(self, took: rec.Took) -> bool:
         """Its server can't tell when a setup was given up."""
-        late = self._lag(took.server, took.t) > 0.0
-        stood = any(b <= took.t <= e + LATE for b, e in self.stood[took.server])
-        return late or stood or took.server in self.boxed
+        late = self._lag_at(took.server, took.t) > 0.0
+        stood = any(b <= took.t <= e + TIMING_TOLERANCE_SECONDS for b, e in self.server_pauses[took.server])
+        return late or stood or took.server in self.proxied_servers
 
-    def _effects(self, name: str, one: Try) -> None:
+    def _check_effects(self, name: str, one: TunnelRecords) -> None:
         if one.asked is None or len(one.took) == 0:
             return
         profile = self.meta.scenario.profile[one.asked.profile]
-        setups = self._setups(one)
-        seen = one.seen(self.meta.began)
-        for earlier, later in pairwise(setup for setup in setups if setup.timed):
-            if earlier.over > later.took + TWO_OUT and not self._died(earlier, later.took):
+        setups = self._setups_in_order(one)
+        seen = one.history(self.meta.began)
+        for earlier, later in pairwise(setup for setup in setups if setup.times_reliable):
+            if (
+                earlier.ended_at > later.received_at + OVERLAP_TOLERANCE_SECONDS
+                and not self._server_was_killed(earlier, later.received_at)
+            ):
                 text = f"two setups out: {earlier.server} still has it, {later.server} got it too"
-                self._broken(2, later.took, name, text, seen)
+                self._add_violation(2, later.received_at, name, text, seen)
         ran = [setup for setup in setups if setup.may_have_run]
         if profile.semantics == "side_effect" and ran:
             first = ran[0]
-            in_order = all(setup.timed for setup in setups)
+            in_order = all(setup.times_reliable for setup in setups)
             if len(ran) > 1 or (in_order and setups[-1] is not first):
                 text = f"once-only, may have run at {first.server}, and was sent on to {setups[-1].server}"
-                self._broken(2, setups[-1].took, name, text, seen)
+                self._add_violation(2, setups[-1].received_at, name, text, seen)
             elif one.answers and one.answers[0].how == "declined":
                 text = f"once-only, may have run at {first.server}, and was declined"
-                self._broken(2, one.answers[0].t, name, text, seen)
+                self._add_violation(2, one.answers[0].t, name, text, seen)
         if profile.semantics == "token" and ran:
-            self._referenced(name, profile, setups, ran[0], seen)
+            self._check_referenced(name, profile, setups, ran[0], seen)
 
-    def _died(self, setup: Setup, by: float) -> bool:
+    def _server_was_killed(self, setup: Setup, by: float) -> bool:
         """Its server's process had ended by then, which nobody there wrote down."""
-        return any(setup.took - LATE <= t <= by + LATE for t in self.kills[setup.server])
+        return any(
+            setup.received_at - TIMING_TOLERANCE_SECONDS <= t <= by + TIMING_TOLERANCE_SECONDS
+            for t in self.server_kills[setup.server]
+        )
 
-    def _referenced(
+    def _check_referenced(
         self, name: str, profile: Profile, setups: list[Setup], first: Setup, seen: tuple[str, ...]
     ) -> None:
         places = {"all": {}, "zone": self.meta.zones, "cell": self.meta.cells}[profile.group]
         for setup in setups:
-            if setup.took <= first.took:
+            if setup.received_at <= first.received_at:
                 continue
             if places.get(setup.server) != places.get(first.server):
                 text = f"referenced within its {profile.group}, sent to {first.server} and {setup.server}"
-                self._broken(2, setup.took, name, text, seen)
-            elif setup.took > first.took + profile.window + LATE:
-                span = setup.took - first.took
+                self._add_violation(2, setup.received_at, name, text, seen)
+            elif setup.received_at > first.received_at + profile.window + TIMING_TOLERANCE_SECONDS:
+                span = setup.received_at - first.received_at
                 text = f"referenced for {profile.window:g} s, sent again after {span:.3f} s"
-                self._broken(2, setup.took, name, text, seen)
+                self._add_violation(2, setup.received_at, name, text, seen)
 
     # Rule 3.
 
-    def _drains(self) -> None:
+    def _check_drains(self) -> None:
         """What was written to a balancer, or counts as told, against what it began to send."""
         told: dict[tuple[int, str], float] = {}  # since when a balancer knows a server as not to be used
         fact: dict[str, float] = {}  # since when discovery has it to tell
         well_since = -inf
-        sends = [(took.began, took, name) for name, one in self.tries.items() for took in one.took]
+        sends = [(took.began, took, name) for name, one in self.tunnels.items() for took in one.took]
         events: list[tuple[float, int, object]] = [(began, 1, (took, name)) for began, took, name in sends]
-        events += [(r.t, 0, r) for r in self.found if isinstance(r, rec.Wrote | rec.Changed | rec.Mark)]
-        events += [(r.t, 0, r) for r in self.found if isinstance(r, rec.Balancer) and r.what == "started"]
-        grace = self.meta.scenario.fleet.drain_grace + LATE
+        events += [(r.t, 0, r) for r in self.records if isinstance(r, rec.Wrote | rec.Changed | rec.Mark)]
+        events += [(r.t, 0, r) for r in self.records if isinstance(r, rec.Balancer) and r.what == "started"]
+        grace = self.meta.scenario.fleet.drain_grace + TIMING_TOLERANCE_SECONDS
         for at, _, event in sorted(events, key=lambda item: (item[0], item[1])):
             match event:
                 case rec.Wrote():
-                    self._wrote(event, told)
+                    self._apply_list_update(event, told)
                 case rec.Changed():
                     if event.status == "up":
                         fact.pop(event.server, None)
@@ -329,21 +344,25 @@
                         del told[key]
                 case (rec.Took() as took, str() as name):
                     known = told.get((took.balancer, took.server), inf)
-                    started = max((t for t in self.started[took.balancer] if t <= at), default=-inf)
+                    started = max((t for t in self.balancer_starts[took.balancer] if t <= at), default=-inf)
                     if took.server in fact:
-                        known = min(known, max(fact[took.server], well_since, started) + DEEMED)
-                    if at > known + grace and not self._still(took):
+                        known = min(
+                            known, max(fact[took.server], well_since, started) + ASSUMED_NOTIFIED_SECONDS
+                        )
+                    if at > known + grace and not self._send_time_unknown(took):
                         text = f"{took.server} got it {at - known:.3f} s after n{took.balancer} was told"
-                        self._broken(3, at, name, text, self.tries[name].seen(self.meta.began))
+                        self._add_violation(3, at, name, text, self.tunnels[name].history(self.meta.began))
                 case _:
                     pass
 
-    def _still(self, took: rec.Took) -> bool:
+    def _send_time_unknown(self, took: rec.Took) -> bool:
         """Its server or its link stood still, so when it was sent is not known."""
-        return self._disturbed(took) or any(b <= took.began <= e + LATE for b, e in self.stood[took.server])
+        return self._times_unreliable(took) or any(
+            b <= took.began <= e + TIMING_TOLERANCE_SECONDS for b, e in self.server_pauses[took.server]
+        )
 
     @staticmethod
-    def _wrote(event: rec.Wrote, told: dict[tuple[int, str], float]) -> None:
+    def _apply_list_update(event: rec.Wrote, told: dict[tuple[int, str], float]) -> None:
         for server, status in event.statuses.items():
             if status == "up":
                 told.pop((event.balancer, server), None)
@@ -352,19 +371,19 @@
 
     # Rule 4.
 
-    def _cold(self) -> None:
+    def _check_cold_servers(self) -> None:
         """Setups that cold servers got within any tip time, against what they could do then."""
         fleet, demand = self.meta.scenario.fleet, self.meta.scenario.demand
         took: dict[tuple[str, int], list[float]] = defaultdict(list)
-        for one in self.tries.values():
+        for one in self.tunnels.values():
             for each in one.took:
                 took[each.server, each.start].append(each.t)
         shares = {kind.name: kind.capacity for kind in fleet.kinds}
         capacity = max(shares.values())  # its kind is not told here: the widest budget is used
-        for record in self.found:
+        for record in self.records:
             if isinstance(record, rec.Fell):
                 text = f"{record.server} fell over cold: {record.came} setups, room for {record.budget:.1f}"
-                self._broken(4, record.t, "", text)
+                self._add_violation(4, record.t, "", text)
             if not isinstance(record, rec.Started) or not record.cold:
                 continue
             times = sorted(took[record.server, record.start])
@@ -379,11 +398,11 @@
                 if came > room:
                     span = f"{fleet.tip_seconds:g} s"
                     text = f"{record.server}, cold, got {came} setups in {span}, room for {room:.1f}"
-                    self._broken(4, at, "", text)
+                    self._add_violation(4, at, "", text)
                     break
 
 
-def _shown(record: rec.AnyRecord, began: float) -> str:
+def _format_record(record: rec.AnyRecord, began: float) -> str:
     told = msgspec.to_builtins(record)
     kind, at = told.pop("is"), told.pop("t")
     told.pop("name", None)
@@ -397,8 +416,8 @@
         + "".join(f", {count} {why}" for why, count in sorted(verdict.tunnels_excluded.items()))
     ]
     for rule, count in sorted(verdict.violations_by_rule().items()):
-        for breach in [b for b in verdict.violations if b.rule == rule][:SHOWN]:
+        for breach in [b for b in verdict.violations if b.rule == rule][:MAX_VIOLATIONS_SHOWN]:
             lines += breach.format_lines()
-        if count > SHOWN:
-            lines.append(f"    and {count - SHOWN} more of rule {rule}")
+        if count > MAX_VIOLATIONS_SHOWN:
+            lines.append(f"    and {count - MAX_VIOLATIONS_SHOWN} more of rule {rule}")
     return lines
--- a/pointgw/testbed/records.py
+++ b/pointgw/testbed/records.py
@@ -190,11 +190,11 @@
     """All records of a run, in order of time. A last line that was cut off by a kill is left out."""
     found: list[AnyRecord] = []
     for path in sorted(folder.glob("*.jsonl")):
-        found += _lines(path)
+        found += _read_lines(path)
     return sorted(found, key=lambda record: record.t)
 
 
-def _lines(path: Path) -> Iterator[AnyRecord]:
+def _read_lines(path: Path) -> Iterator[AnyRecord]:
     for line in path.read_bytes().splitlines():
         try:
             yield _decoder.decode(line)
--- a/pointgw/testbed/results.py
+++ b/pointgw/testbed/results.py
@@ -18,16 +18,16 @@
 from pointgw.testbed.invariant_checker import CheckResult, format_result
 from pointgw.testbed.meta import Meta
 
-SETTLED = 5.0  # seconds from the start that count as filling up
-BACK = 0.97  # of the service before a trouble at which it counts as over
-STEADY = 3  # seconds in a row that it must hold
-LATE_SHARE = 0.1  # of the client timeout left: an answer given then was kept long
-LAG = 0.05  # seconds a stand-in may be late before its figures are its own
-BUSY_PART = 0.9  # of a core, from which a part of the rig is the bottleneck
-IDLE = 0.1  # share of the machine's cores below which a run is not to be trusted
-QUANTILES = (50.0, 90.0, 99.0, 99.9)
+FILL_UP_SECONDS = 5.0  # seconds from the start that count as filling up
+RECOVERED_SHARE = 0.97  # of the service before a trouble at which it counts as over
+RECOVERED_SECONDS = 3  # seconds in a row that it must hold
+LATE_ANSWER_SHARE = 0.1  # of the client timeout left: an answer given then was kept long
+MAX_LAG_SECONDS = 0.05  # seconds a stand-in may be late before its figures are its own
+BUSY_CORE_SHARE = 0.9  # of a core, from which a part of the rig is the bottleneck
+MIN_IDLE_SHARE = 0.1  # share of the machine's cores below which a run is not to be trusted
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 # Student's t for 95% by degrees of freedom; beyond: the normal's.
-STUDENT = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13)
+STUDENT_T_95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13)
 
 
 class Recovery(msgspec.Struct, frozen=True):
@@ -70,7 +70,7 @@
 def compute_result(found: list[rec.AnyRecord], meta: Meta, verdict: CheckResult) -> Result:
     per_second = [r for r in found if isinstance(r, rec.Second)]
     names = [profile.name for profile in meta.scenario.profile]
-    settled = [r for r in per_second if r.t > meta.began + SETTLED and r.t <= meta.ended + 0.5]
+    settled = [r for r in per_second if r.t > meta.began + FILL_UP_SECONDS and r.t <= meta.ended + 0.5]
     asked = [sum(r.asked[i] for r in settled) for i in range(len(names))]
     served = [sum(r.served[i] for r in settled) for i in range(len(names))]
     tries = {r.name: r for r in found if isinstance(r, rec.Asked)}
@@ -84,12 +84,12 @@
         if answer.how == "opened":
             histogram.record_value(max(1, round((answer.t - asked_at.intended) * 1e6)))
         elif answer.how in ("declined", "failed"):
-            kept_long += answer.t - asked_at.t > (1 - LATE_SHARE) * asked_at.patience
+            kept_long += answer.t - asked_at.t > (1 - LATE_ANSWER_SHARE) * asked_at.patience
     opened = sum(answer.how == "opened" for answer in answers)
     took = sum(isinstance(r, rec.Took) for r in found)
     ends = Counter(r.how for r in found if isinstance(r, rec.Ended))
     shares = [sum(r.served) / sum(r.asked) if sum(r.asked) else 1.0 for r in per_second]
-    marks = _marks(found, meta)
+    marks = _trouble_spans(found, meta)
     loads: dict[str, list[float | None]] = defaultdict(lambda: [None] * len(per_second))
     for record in found:
         if isinstance(record, rec.State) and 0 <= int(record.t - meta.began) < len(per_second):
@@ -105,7 +105,7 @@
         verdict=format_result(verdict),
         judged=verdict.tunnels_checked,
         excused=dict(verdict.tunnels_excluded),
-        setups={f"p{q:g}": histogram.get_value_at_percentile(q) / 1e6 for q in QUANTILES} if opened else {},
+        setups={f"p{q:g}": histogram.get_value_at_percentile(q) / 1e6 for q in PERCENTILES} if opened else {},
         answers=dict(Counter(answer.how for answer in answers)),
         kept_long=kept_long,
         tries=took / opened if opened else 0.0,
@@ -121,7 +121,7 @@
     )
 
 
-def _marks(found: list[rec.AnyRecord], meta: Meta) -> list[tuple[float, float, str]]:
+def _trouble_spans(found: list[rec.AnyRecord], meta: Meta) -> list[tuple[float, float, str]]:
     begun: dict[int, rec.Mark] = {}
     out: list[tuple[float, float, str]] = []
     for record in found:
@@ -142,12 +142,12 @@
     before = mean(shares[max(0, first - 5) : first] or [1.0])
     after = shares[first:]
     back = None
-    fell = next((i for i, share in enumerate(after) if share < BACK * before), None)
+    fell = next((i for i, share in enumerate(after) if share < RECOVERED_SHARE * before), None)
     if fell is None:
         back = 0.0
     else:
-        for i in range(fell, len(after) - STEADY + 1):
-            if all(share >= BACK * before for share in after[i : i + STEADY]):
+        for i in range(fell, len(after) - RECOVERED_SECONDS + 1):
+            if all(share >= RECOVERED_SHARE * before for share in after[i : i + RECOVERED_SECONDS]):
                 back = first + i - begin
                 break
     lasts = end - begin if back is None else back
@@ -172,13 +172,13 @@
     paused = {f"s-{number}" for record in pauses for number in record.which}
     told: list[str] = []
     for who in sorted(lags):
-        late = sum(lag > LAG for lag in lags[who])
+        late = sum(lag > MAX_LAG_SECONDS for lag in lags[who])
         if late > max(1, 0.05 * len(lags[who])) and who not in paused:
             told.append(f"{who} of the rig was late in {late} of {len(lags[who])} seconds")
-        busy = sum(cpu > BUSY_PART for cpu in cpus[who])
+        busy = sum(cpu > BUSY_CORE_SHARE for cpu in cpus[who])
         if busy > max(1, 0.05 * len(cpus[who])):
             told.append(f"{who} of the rig took a whole core in {busy} of {len(cpus[who])} seconds")
-    short = sum(share < IDLE for share in idle)
+    short = sum(share < MIN_IDLE_SHARE for share in idle)
     if short > max(1, 0.1 * len(idle)):
         told.append(f"the machine had no core to spare in {short} of {len(idle)} seconds")
     return told
@@ -199,11 +199,13 @@
 def spread(figures: list[float]) -> Spread:
     if len(figures) < 2:
         return Spread(figures[0] if figures else 0.0, None, len(figures))
-    return Spread(mean(figures), _t(len(figures) - 1) * stdev(figures) / sqrt(len(figures)), len(figures))
+    return Spread(
+        mean(figures), _student_t(len(figures) - 1) * stdev(figures) / sqrt(len(figures)), len(figures)
+    )
 
 
-def _t(degrees: int) -> float:
-    return STUDENT[degrees - 1] if degrees <= len(STUDENT) else 1.96
+def _student_t(degrees: int) -> float:
+    return STUDENT_T_95[degrees - 1] if degrees <= len(STUDENT_T_95) else 1.96
 
 
 class Compared(msgspec.Struct, frozen=True):
--- a/pointgw/testbed/scenario.py
+++ b/pointgw/testbed/scenario.py
@@ -11,15 +11,15 @@
 from pointgw import validation
 from pointgw.fault_proxy.script import Rule
 
-Over = Annotated[float, msgspec.Meta(gt=0.0, le=1e6)]
-NotUnder = Annotated[float, msgspec.Meta(ge=0.0, le=1e6)]
-Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
-Number = Annotated[int, msgspec.Meta(ge=0, le=10_000)]
-Some = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
-
-MOST_BALANCERS, MOST_SERVERS = 90, 200  # as the rig's addresses are laid out
-LIBRARY = Path(__file__).parent / "scenarios"
-WHAT = Literal[
+Positive = Annotated[float, msgspec.Meta(gt=0.0, le=1e6)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0.0, le=1e6)]
+Fraction = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=10_000)]
+PositiveCount = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
+
+MAX_BALANCERS, MAX_SERVERS = 90, 200  # as the rig's addresses are laid out
+LIBRARY_FOLDER = Path(__file__).parent / "scenarios"
+TroubleName = Literal[
     "balancer-kill", "balancer-stop", "balancer-reload", "balancer-pause", "server-drain", "server-kill",
     "server-errors", "server-hang", "server-pause", "server-slow", "server-full", "server-start",
     "reports-stuck", "reports-absent", "discovery-silent", "discovery-503",
@@ -29,43 +29,43 @@
 Target = Literal["balancer", "server", "discovery", "clients", "links", "peers"]
 
 
-class Struct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StrictStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     pass
 
 
-class Kind(Struct, frozen=True, forbid_unknown_fields=True):
+class Kind(StrictStruct, frozen=True, forbid_unknown_fields=True):
     """A kind of server machine."""
 
     name: str
-    share: Over = 1.0  # of the fleet, against the other kinds'
-    capacity: Over = 1.0  # work a second, against the others'
+    share: Positive = 1.0  # of the fleet, against the other kinds'
+    capacity: Positive = 1.0  # work a second, against the others'
 
 
-class Fleet(Struct, frozen=True, forbid_unknown_fields=True):
-    balancers: Annotated[int, msgspec.Meta(ge=1, le=MOST_BALANCERS)] = 3
-    servers: Annotated[int, msgspec.Meta(ge=2, le=MOST_SERVERS)] = 12
-    spare_servers: Number = 0  # not running at the start; `server-start` starts them
+class Fleet(StrictStruct, frozen=True, forbid_unknown_fields=True):
+    balancers: Annotated[int, msgspec.Meta(ge=1, le=MAX_BALANCERS)] = 3
+    servers: Annotated[int, msgspec.Meta(ge=2, le=MAX_SERVERS)] = 12
+    spare_servers: Count = 0  # not running at the start; `server-start` starts them
     zones: tuple[str, ...] = ("a", "b")
     kinds: tuple[Kind, ...] = (Kind("m", 1.0, 1.0),)
-    holds: Some = 2000  # connections that a server accepts, then it is full
-    group_cost: NotUnder = 0.0  # work a second that a server pays for each group it holds, once
-    setup_work: NotUnder = 0.004  # work that a setup costs
-    message_work: NotUnder = 0.0002  # work within one message, as the shortest time of an answer
-    cold_from: Share = 0.2  # the share of capacity that a server starts with
-    cold_seconds: Over = 10.0  # until it has all of it
-    tip_multiple: Over = 3.0  # work sent over what it can do then, for `tip_seconds`: it falls over
-    tip_seconds: Over = 2.0
-    thrash: Share = 0.3  # of capacity lost while over a second of work is piled up
-    drops_after: Over = 3.0  # seconds of work piled up at which a server drops its heaviest tunnel
-    report_every: Over = 0.2  # seconds between two looks of a server at itself
-    report_late: NotUnder = 0.03
-    report_noise: Share = 0.05
+    holds: PositiveCount = 2000  # connections that a server accepts, then it is full
+    group_cost: NonNegative = 0.0  # work a second that a server pays for each group it holds, once
+    setup_work: NonNegative = 0.004  # work that a setup costs
+    message_work: NonNegative = 0.0002  # work within one message, as the shortest time of an answer
+    cold_from: Fraction = 0.2  # the share of capacity that a server starts with
+    cold_seconds: Positive = 10.0  # until it has all of it
+    tip_multiple: Positive = 3.0  # work sent over what it can do then, for `tip_seconds`: it falls over
+    tip_seconds: Positive = 2.0
+    thrash: Fraction = 0.3  # of capacity lost while over a second of work is piled up
+    drops_after: Positive = 3.0  # seconds of work piled up at which a server drops its heaviest tunnel
+    report_every: Positive = 0.2  # seconds between two looks of a server at itself
+    report_late: NonNegative = 0.03
+    report_noise: Fraction = 0.05
     tells_load: bool = True  # servers say LOAD
-    drain_grace: Over = 0.5  # seconds after which nothing new may come once a balancer was told
+    drain_grace: Positive = 0.5  # seconds after which nothing new may come once a balancer was told
     probes: bool = True
     tells_shares: bool = False  # settings tell how many tunnels the tenants' shares allow
-    max_setups: Some = 4
-    probe_price: NotUnder = 0.005
+    max_setups: PositiveCount = 4
+    probe_price: NonNegative = 0.005
     remembers: bool = False  # balancers keep a memory on disk, in the run's folder
     talks: bool = False  # balancers know of each other: peers for them, and `[tier]`
     regions: dict[str, tuple[str, ...]] = {}  # zones by region, for that
@@ -77,49 +77,51 @@
         return self.talks or self.recovers
 
 
-class Profile(Struct, frozen=True, forbid_unknown_fields=True):
+class Profile(StrictStruct, frozen=True, forbid_unknown_fields=True):
     name: str
-    share: Over = 1.0
+    share: Positive = 1.0
     semantics: Literal["pure", "token", "side_effect"] = "pure"
     group: Literal["all", "zone", "cell"] = "all"
-    window: NotUnder = 5.0
-    setup_goal: Over = 0.3
-    client_timeout: Over = 1.8
-    credit: Over = 1.0
-
-
-class Demand(Struct, frozen=True, forbid_unknown_fields=True):
-    arrivals: Over = 12.0  # new clients a second, Poisson
-    standing: Number = 0  # clients that come within the first three seconds, before these
-    life: Over = 12.0  # seconds, the median of a lognormal
-    life_sigma: NotUnder = 0.8
-    load: Over = 0.004  # work a second that a tunnel asks, the median
-    load_sigma: NotUnder = 0.6
-    swing: Share = 0.4  # of the load, up and down over a tunnel's life
-    groups: Number = 0  # 0: each client by itself
-    message_every: Over = 1.0  # seconds between a client's lines
-    burst_every: NotUnder = 0.0  # seconds between two small bursts; 0: none
-    burst_size: Some = 20
-    retry_first: Over = 0.1  # seconds until a client comes again; doubled each time, up to
-    retry_last: Over = 2.0
-    tries: Some = 8  # after these it stays away
-    slow_readers: Share = 0.0  # of the clients: they read a few bytes at a time
-
-
-class Trouble(Struct, frozen=True, forbid_unknown_fields=True):
+    window: NonNegative = 5.0
+    setup_goal: Positive = 0.3
+    client_timeout: Positive = 1.8
+    credit: Positive = 1.0
+
+
+class Demand(StrictStruct, frozen=True, forbid_unknown_fields=True):
+    arrivals: Positive = 12.0  # new clients a second, Poisson
+    standing: Count = 0  # clients that come within the first three seconds, before these
+    life: Positive = 12.0  # seconds, the median of a lognormal
+    life_sigma: NonNegative = 0.8
+    load: Positive = 0.004  # work a second that a tunnel asks, the median
+    load_sigma: NonNegative = 0.6
+    swing: Fraction = 0.4  # of the load, up and down over a tunnel's life
+    groups: Count = 0  # 0: each client by itself
+    message_every: Positive = 1.0  # seconds between a client's lines
+    burst_every: NonNegative = 0.0  # seconds between two small bursts; 0: none
+    burst_size: PositiveCount = 20
+    retry_first: Positive = 0.1  # seconds until a client comes again; doubled each time, up to
+    retry_last: Positive = 2.0
+    tries: PositiveCount = 8  # after these it stays away
+    slow_readers: Fraction = 0.0  # of the clients: they read a few bytes at a time
+
+
+class Trouble(StrictStruct, frozen=True, forbid_unknown_fields=True):
     """One entry of the timeline; any of them may overlap."""
 
-    at: NotUnder
-    what: WHAT
-    seconds: NotUnder = 0.0  # how long; 0: for good, or just once
-    which: tuple[Number, ...] = ()  # numbers of the balancers or servers; none: `count` by chance
-    count: Some = 1
-    size: NotUnder = 1.0  # share of setups that fail, of capacity left, of clients dropped; times the demand;
+    at: NonNegative
+    what: TroubleName
+    seconds: NonNegative = 0.0  # how long; 0: for good, or just once
+    which: tuple[Count, ...] = ()  # numbers of the balancers or servers; none: `count` by chance
+    count: PositiveCount = 1
+    size: NonNegative = (
+        1.0  # share of setups that fail, of capacity left, of clients dropped; times the demand;
+    )
     # of datagrams lost
-    late: NotUnder = 1.5  # seconds until discovery notices; that a datagram is late at most
+    late: NonNegative = 1.5  # seconds until discovery notices; that a datagram is late at most
     rule: tuple[Rule, ...] = ()  # links: what their boxes do
     side: Literal["servers", "clients"] = "servers"  # links: those to servers, or from clients
-    of: tuple[Number, ...] = ()  # links to servers: of these balancers alone; none: of all
+    of: tuple[Count, ...] = ()  # links to servers: of these balancers alone; none: of all
     power: bool = False  # balancer-kill: their machines are off meanwhile, and tell a new run
 
     @property
@@ -138,7 +140,7 @@
         return "clients"
 
 
-class Scenario(Struct, frozen=True, forbid_unknown_fields=True):
+class Scenario(StrictStruct, frozen=True, forbid_unknown_fields=True):
     name: str
     about: str
     seconds: Annotated[float, msgspec.Meta(ge=5.0, le=3600.0)] = 40.0
@@ -149,8 +151,8 @@
     trouble: tuple[Trouble, ...] = ()
 
     def check(self) -> Iterator[tuple[str, object, str]]:
-        if self.fleet.servers + self.fleet.spare_servers > MOST_SERVERS:
-            yield "fleet.spare_servers", self.fleet.spare_servers, f"at most {MOST_SERVERS} servers in all"
+        if self.fleet.servers + self.fleet.spare_servers > MAX_SERVERS:
+            yield "fleet.spare_servers", self.fleet.spare_servers, f"at most {MAX_SERVERS} servers in all"
         for i, trouble in enumerate(self.trouble):
             if trouble.at + trouble.seconds > self.seconds:
                 yield f"trouble[{i}].at", trouble.at, f"an end within the scenario's {self.seconds:g} seconds"
@@ -177,12 +179,12 @@
         if name not in scenario_names():
             known = "a file, or one of " + ", ".join(scenario_names())
             raise validation.InvalidFileError(name, [validation.InvalidValue("", "", known)])
-        path = LIBRARY / f"{name}.toml"
+        path = LIBRARY_FOLDER / f"{name}.toml"
     return validation.read(path, Scenario)
 
 
 def scenario_names() -> list[str]:
-    return sorted(path.stem for path in LIBRARY.glob("*.toml"))
+    return sorted(path.stem for path in LIBRARY_FOLDER.glob("*.toml"))
 
 
 def balancer_settings(scenario: Scenario, zone: int) -> dict[str, Any]:
--- a/pointgw/testbed/stand_in.py
+++ b/pointgw/testbed/stand_in.py
@@ -48,7 +48,7 @@
         addresses: dict[str, str] = {}
         self.servers: list[Server] = []
         for i in range(fleet.servers):
-            at = (self.listen[0], self.listen[1] + i if self.listen[1] else _free(self.listen[0]))
+            at = (self.listen[0], self.listen[1] + i if self.listen[1] else _free_port(self.listen[0]))
             name = f"s-{i}"
             told = {"who": name, "seed": 1} | start_up.server_start_values(
                 self.scenario, self.capacity, 1, 0.0, [at]
@@ -59,10 +59,10 @@
             addresses[name] = format_address(at)
             lines.append(Line(name, fleet.zones[i % len(fleet.zones)], "m", 0, "up", 0))
         if not self.discovery[1]:
-            self.discovery = (self.discovery[0], _free(self.discovery[0]))
+            self.discovery = (self.discovery[0], _free_port(self.discovery[0]))
         told = {"seed": 1, "addresses": [addresses], "listen": [self.discovery]}
-        self.roster = Discovery(told | {"lines": [asdict(line) for line in lines]}, writer)
-        await self.roster.serve()
+        self.discovery_server = Discovery(told | {"lines": [asdict(line) for line in lines]}, writer)
+        await self.discovery_server.serve()
         if self.config is not None:
             config = start_up.balancer_start_file(
                 self.scenario, "n0", 0, 1, self.balancer, self.discovery, lines, addresses
@@ -82,7 +82,7 @@
         await asyncio.Event().wait()
 
 
-def _free(host: str) -> int:
+def _free_port(host: str) -> int:
     with socket.socket() as sock:
         sock.bind((host, 0))
         return int(sock.getsockname()[1])
