--- a/tests/test_invariant_checker.py
+++ b/tests/test_invariant_checker.py
@@ -1,4 +1,4 @@
-"""The referee, by doctored records that break each rule: one that can't say no is a defect."""
+"""Tests of the invariant checker with made-up records: it must find a violation of each rule."""
 
 from __future__ import annotations
 
@@ -49,61 +49,63 @@
         answered(30.1, "declined", "BUSY", "z"), rec.Machine(40.0, 1.0)]  # fmt: skip
 
 
-def broken(found: Sequence[rec.AnyRecord], about: Meta | None = None) -> list[int]:
-    ordered = sorted([*found, rec.Machine(40.0, 1.0)], key=lambda record: record.t)
-    return [breach.rule for breach in check_records(ordered, about or meta()).violations]
+def violated_rules(records: Sequence[rec.AnyRecord], run: Meta | None = None) -> list[int]:
+    ordered = sorted([*records, rec.Machine(40.0, 1.0)], key=lambda record: record.t)
+    return [violation.rule for violation in check_records(ordered, run or meta()).violations]
 
 
-def test_a_sound_run_is_kept_and_counted() -> None:
-    verdict = check_records(GOOD, meta())
-    assert verdict.passed and verdict.tunnels_checked == 2
+def test_a_run_without_violations_passes_and_counts_its_tunnels() -> None:
+    result = check_records(GOOD, meta())
+    assert result.passed and result.tunnels_checked == 2
 
 
 @pytest.mark.parametrize(
-    "found",
+    "records",
     [
-        [asked()],  # nothing ever came
+        [asked()],  # no answer
         [asked(), answered(11.9, "none", "")],
         [asked(), answered(10.5, "lost", "")],
-        [asked(), took(10.01), said(12.0), answered(12.1)],  # too late
+        [asked(), took(10.01), said(12.0), answered(12.1)],  # after the client timeout
         [asked(), answered(10.2, "declined", "BUSY"), answered(10.3, "failed", "ERR")],
         [asked(), answered(10.2, "declined", "BUSY"), rec.Further(10.3, "a", "UP r")],
         [asked(), took(10.01), said(10.02), answered(10.03, "opened", "UP nobody-1"), gone(20.0)],
-        [took(10.01), said(10.02), gone(11.0)],  # no client asked for it
+        [took(10.01), said(10.02), gone(11.0)],  # no client requested it
     ],
 )
-def test_rule_1_exactly_one_answer_in_time_that_a_server_gave(found: list[rec.AnyRecord]) -> None:
-    assert broken(found) == [1]
+def test_rule_1_one_answer_in_time_with_a_receipt_that_a_server_sent(records: list[rec.AnyRecord]) -> None:
+    assert violated_rules(records) == [1]
 
 
 @pytest.mark.parametrize(
-    ("found", "kept"),
+    ("records", "excluded"),
     [
         ([rec.Balancer(9.9, 0, "killed"), rec.Balancer(12.0, 0, "serving")], True),
         ([rec.Balancer(11.0, 0, "paused"), rec.Balancer(11.5, 0, "resumed")], True),
-        ([rec.Balancer(9.9, 1, "killed"), rec.Balancer(12.0, 1, "serving")], False),  # another one
+        ([rec.Balancer(9.9, 1, "killed"), rec.Balancer(12.0, 1, "serving")], False),  # another balancer
         ([rec.Balancer(5.0, 0, "killed"), rec.Balancer(8.0, 0, "serving")], False),  # long before
     ],
 )
-def test_what_a_dead_balancer_owed_is_excused_and_no_more(found: list[rec.AnyRecord], kept: bool) -> None:
-    assert (broken([asked(), answered(10.5, "lost", ""), *found]) == []) is kept
+def test_only_tunnels_during_a_balancer_outage_are_excluded(
+    records: list[rec.AnyRecord], excluded: bool
+) -> None:
+    assert (violated_rules([asked(), answered(10.5, "lost", ""), *records]) == []) is excluded
 
 
-def test_late_clients_of_the_rig_are_not_the_balancers_fault() -> None:
+def test_lag_of_the_client_process_is_not_attributed_to_the_balancer() -> None:
     late: list[rec.AnyRecord] = [asked(), took(10.01), said(11.7), answered(11.9), gone(20.0)]
-    assert broken(late) == [1]
-    assert broken([*late, rec.Strain(11.95, "clients", 0.2, 0.5)]) == []
+    assert violated_rules(late) == [1]
+    assert violated_rules([*late, rec.Strain(11.95, "clients", 0.2, 0.5)]) == []
 
 
 @pytest.mark.parametrize(
-    ("found", "rules"),
+    ("records", "rules"),
     [
-        # Two setups out at once.
+        # Two setups at once, and one after the other.
         ([asked(), took(10.0), took(10.5, 1), said(10.6, UP, 1), answered(10.7), gone(11.0),
           gone(20.0, 1)], [2]),
         ([asked(), took(10.0), gone(10.4), took(10.5, 1), said(10.6, UP, 1), answered(10.7),
           gone(20.0, 1)], []),
-        # Once-only: sent on, and declined, after one that may have run.
+        # Once-only: sent again, or declined, after a setup that may have run.
         ([asked(profile=1), took(10.0), gone(10.4), took(10.5, 1), said(10.6, UP, 1), answered(10.7),
           gone(20.0, 1)], [2]),
         ([asked(profile=1), took(10.0), said(10.1, "BUSY"), gone(10.1), took(10.5, 1), said(10.6, UP, 1),
@@ -111,7 +113,7 @@
         ([asked(profile=1), took(10.0), said(10.1, "ERR"), gone(10.1),
           answered(10.2, "declined", "BUSY")], [2]),
         ([asked(profile=1), took(10.0), said(10.1, "ERR"), gone(10.1), answered(10.2, "failed", "ERR")], []),
-        # Referenced: another zone, and after its window.
+        # Referenced: in another zone, in the same one, and after its window.
         ([asked(profile=2), took(10.0), gone(10.1), took(10.2, 1), said(10.3, UP, 1), answered(10.4),
           gone(20.0, 1)], [2]),
         ([asked(profile=2), took(10.0), gone(10.1), took(10.2, 2), said(10.3, UP, 2), answered(10.4),
@@ -120,8 +122,8 @@
           gone(20.0, 2)], [2]),
     ],
 )  # fmt: skip
-def test_rule_2_no_double_effect(found: list[rec.AnyRecord], rules: list[int]) -> None:
-    assert broken(found) == rules
+def test_rule_2_no_double_effect(records: list[rec.AnyRecord], rules: list[int]) -> None:
+    assert violated_rules(records) == rules
 
 
 def tunnel(t: float, name: str, balancer: int = 0) -> list[rec.AnyRecord]:
@@ -130,62 +132,64 @@
 
 
 @pytest.mark.parametrize(
-    ("found", "rules"),
+    ("records", "rules"),
     [
         ([rec.Wrote(10.0, 0, 2, {"s-0": "draining"}, False), *tunnel(10.4, "a"), *tunnel(10.7, "b")], [3]),
         ([rec.Wrote(10.0, 0, 2, {"s-0": "removed"}, False), *tunnel(11.0, "a")], [3]),
-        ([rec.Wrote(10.0, 1, 2, {"s-0": "draining"}, False), *tunnel(11.0, "a")], []),  # another was told
-        # Told again that it is up.
+        ([rec.Wrote(10.0, 1, 2, {"s-0": "draining"}, False), *tunnel(11.0, "a")], []),  # another balancer
+        # The server is up again.
         ([rec.Wrote(10.0, 0, 2, {"s-0": "draining"}, False), rec.Wrote(11.0, 0, 3, {"s-0": "up"}, False),
           *tunnel(12.0, "a")], []),
-        # Never written to it: told by the time that passes.
+        # Never written to the balancer: it counts as notified after a time.
         ([rec.Changed(10.0, "s-0", "draining", 2), *tunnel(16.3, "a")], []),
         ([rec.Changed(10.0, "s-0", "draining", 2), *tunnel(16.8, "a")], [3]),
-        # Discovery was away, and could not tell.
+        # Discovery was silent and could not notify; the time counts from its return.
         ([rec.Changed(10.0, "s-0", "draining", 2), rec.Mark(9.0, 0, "discovery-silent", [], False),
           rec.Mark(14.0, 0, "discovery-silent", [], True), *tunnel(16.8, "a"), *tunnel(21.0, "b")], [3]),
     ],
 )  # fmt: skip
-def test_rule_3_nothing_new_to_a_server_that_drains(found: list[rec.AnyRecord], rules: list[int]) -> None:
-    assert broken(found) == rules
+def test_rule_3_nothing_new_to_a_draining_or_removed_server(
+    records: list[rec.AnyRecord], rules: list[int]
+) -> None:
+    assert violated_rules(records) == rules
 
 
-def test_rule_4_cold_servers_by_what_they_got_and_by_their_own_word() -> None:
+def test_rule_4_cold_servers_by_setups_received_and_by_their_own_records() -> None:
     many = [record for i in range(400) for record in tunnel(10.0 + i / 1000, f"t{i}")]
-    assert broken([rec.Started(9.5, "s-0", 1, True), *many]) == [4]
-    assert broken([rec.Started(9.5, "s-0", 1, False), *many]) == []
-    assert broken([rec.Fell(10.0, "s-0", 30, 12.0)]) == [4]
-    assert broken([rec.Balancer(10.0, 2, "died")]) == [0]
+    assert violated_rules([rec.Started(9.5, "s-0", 1, True), *many]) == [4]
+    assert violated_rules([rec.Started(9.5, "s-0", 1, False), *many]) == []
+    assert violated_rules([rec.Fell(10.0, "s-0", 30, 12.0)]) == [4]
+    assert violated_rules([rec.Balancer(10.0, 2, "died")]) == [0]
 
 
-def test_a_breach_names_tunnel_times_and_what_was_seen() -> None:
-    verdict = check_records([asked(), answered(11.9, "none", "")], meta())
-    (breach,) = verdict.violations
-    lines = breach.format_lines()
+def test_a_violation_names_tunnel_and_times_and_shows_records() -> None:
+    result = check_records([asked(), answered(11.9, "none", "")], meta())
+    (violation,) = result.violations
+    lines = violation.format_lines()
     assert "tunnel a" in lines[0] and "11.900s" in lines[0] and len(lines) == 3
     assert "asked" in lines[1] and "balancer=0" in lines[1]
 
 
-def test_a_server_of_the_rig_that_was_late_does_not_tell_two_setups_apart() -> None:
+def test_overlap_of_setups_is_not_checked_at_a_stand_in_server_that_lagged() -> None:
     two: list[rec.AnyRecord] = [asked(), took(10.0), took(10.5, 1), said(10.6, UP, 1), answered(10.7)]
     two += [gone(11.0), gone(20.0, 1)]
-    assert broken(two) == [2]
-    assert broken([*two, rec.Strain(10.9, "s-0", 0.2, 0.1)]) == []
-    assert broken([*two, rec.Strain(10.9, "s-3", 0.2, 0.1)]) == [2]
+    assert violated_rules(two) == [2]
+    assert violated_rules([*two, rec.Strain(10.9, "s-0", 0.2, 0.1)]) == []
+    assert violated_rules([*two, rec.Strain(10.9, "s-3", 0.2, 0.1)]) == [2]
 
 
-def test_a_server_that_stood_still_read_late_what_was_sent_before() -> None:
-    stood = [rec.Mark(9.0, 0, "server-pause", [1], False), rec.Mark(15.0, 0, "server-pause", [1], True)]
+def test_overlap_of_setups_is_not_checked_at_a_server_that_was_paused() -> None:
+    paused = [rec.Mark(9.0, 0, "server-pause", [1], False), rec.Mark(15.0, 0, "server-pause", [1], True)]
     late: list[rec.AnyRecord] = [asked(), took(10.4), said(10.5), answered(10.6), gone(20.0)]
     late += [took(15.01, 1), gone(15.02, 1)]
-    assert broken([*late, *stood]) == [] and broken(late) == [2]
-    # But once-only: it may have run at both, whatever the order.
-    assert broken([asked(profile=1), *late[1:], *stood]) == [2]
+    assert violated_rules([*late, *paused]) == [] and violated_rules(late) == [2]
+    # A once-only tunnel may have run at both, in whatever order.
+    assert violated_rules([asked(profile=1), *late[1:], *paused]) == [2]
 
 
-def test_boxes_excuse_what_they_may_have_done() -> None:
+def test_faults_that_a_fault_proxy_may_have_caused_are_not_violations() -> None:
     garbled: list[rec.AnyRecord] = [asked(), took(10.01), said(10.02), gone(20.0)]
     garbled.append(answered(10.03, "opened", "UP x"))
-    assert broken(garbled) == [1] and broken(garbled, meta(boxed_servers=(0,))) == []
+    assert violated_rules(garbled) == [1] and violated_rules(garbled, meta(boxed_servers=(0,))) == []
     lost: list[rec.AnyRecord] = [asked(), answered(10.5, "lost", "")]
-    assert broken(lost, meta(boxed_clients=True)) == []
+    assert violated_rules(lost, meta(boxed_clients=True)) == []
