--- a/pointgw/testbed/baseline.py
+++ b/pointgw/testbed/baseline.py
@@ -1,6 +1,6 @@
-"""The balancer with another policy, to compare with: plain random choice, or each server in turn.
+"""Baseline policies to compare with: uniformly random choice, and round-robin.
 
-Only the choice differs; rules, sockets and timers are the balancer's own. Never what a deployment runs.
+Only the choice of a server differs; rules, sockets and timers are the balancer's own. Not for deployments.
 """
 
 from __future__ import annotations
@@ -15,21 +15,23 @@
 
 
 class PlainRandom(Balancer):
-    """Any active server, by chance alone: no reports, no probes, nobody held back."""
+    """Chooses uniformly among the eligible active servers, without reports, probes, queues or migration."""
 
-    def _select_candidates(self, tun: Tunnel, now: float) -> list[Server]:
-        return [ep for ep in self.active_servers if self._is_eligible(tun, ep, now)]
+    def _select_candidates(self, tunnel: Tunnel, now: float) -> list[Server]:
+        return [server for server in self.active_servers if self._is_eligible(tunnel, server, now)]
 
-    def _draw_candidates(self, tun: Tunnel, ready: list[Server]) -> list[Server]:
+    def _draw_candidates(self, tunnel: Tunnel, ready: list[Server]) -> list[Server]:
         return [self.choice(ready)]
 
-    def _offer(self, tun: Tunnel, now: float) -> None:
-        self._send_setup(tun, tun.candidates[0], now)
+    def _offer(self, tunnel: Tunnel, now: float) -> None:
+        self._send_setup(tunnel, tunnel.candidates[0], now)
 
     def _probe_servers(self, now: float) -> None:
         pass
 
-    def _migrate_excess(self, ep: Server, now: float, settle: float = MIGRATION_REPORT_DELAY) -> None:
+    def _migrate_excess(
+        self, server: Server, now: float, report_delay: float = MIGRATION_REPORT_DELAY
+    ) -> None:
         pass
 
 
@@ -38,12 +40,13 @@
 
     placements = 0
 
-    def _draw_candidates(self, tun: Tunnel, ready: list[Server]) -> list[Server]:
+    def _draw_candidates(self, tunnel: Tunnel, ready: list[Server]) -> list[Server]:
         self.placements += 1
         return [ready[self.placements % len(ready)]]
 
 
 def main() -> int:
+    """Runs a balancer process with the policy that the first argument names; returns its exit code."""
     policies = {"random": PlainRandom, "round-robin": RoundRobin}
     return daemon(os.environ["GW_CONFIG"], None, policies[sys.argv[1]])
 
--- a/pointgw/testbed/meta.py
+++ b/pointgw/testbed/meta.py
@@ -1,4 +1,4 @@
-"""What the judges must know of a run beside its records."""
+"""Metadata of a run: what its evaluation needs besides the records."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Meta:
-    """What the judges must know of a run beside its records."""
+    """Metadata of a run. Times: the machine's monotonic clock."""
 
     scenario: Scenario
     policy: str
-    began: float  # on the machine's monotonic clock
-    ended: float
-    boxed_clients: bool  # a box stood between clients and balancers
-    boxed_servers: tuple[int, ...]
-    zones: dict[str, int]  # of servers
-    cells: dict[str, int]
+    began: float  # the scenario's start
+    ended: float  # the scenario's end
+    boxed_clients: bool  # fault proxies stood between clients and balancers
+    boxed_servers: tuple[int, ...]  # numbers of the servers behind fault proxies
+    zones: dict[str, int]  # number of each server's zone
+    cells: dict[str, int]  # number of each server's cell
 
 
 def read(folder: Path) -> Meta:
-    """What a run left about itself."""
+    """Reads the metadata of a run from its folder."""
     return msgspec.json.decode((folder / "meta.json").read_bytes(), type=Meta)
--- a/pointgw/testbed/plot.py
+++ b/pointgw/testbed/plot.py
@@ -1,4 +1,4 @@
-"""One page of plots with the troubles drawn in. Needs matplotlib, of the optional extra `rig`."""
+"""A page of plots of a scenario's results. Needs matplotlib, of the optional extra `rig`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def draw(results: list[Result], path: Path) -> None:
-    """Writes a PNG: service by second, open tunnels, servers' loads, each run a line."""
+    """Writes a PNG: service and open tunnels of each run, loads of servers in the first, troubles shaded.
+
+    Raises ImportError without matplotlib.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
--- a/pointgw/testbed/records.py
+++ b/pointgw/testbed/records.py
@@ -1,4 +1,4 @@
-"""What each part of a rig writes down, a line of JSON each. Times: the machine's monotonic clock."""
+"""Records that the processes of a run write, one line of JSON each. Times: the machine's monotonic clock."""
 
 from __future__ import annotations
 
@@ -11,24 +11,26 @@
 
 
 class Record(msgspec.Struct, frozen=True, tag_field="is", tag=str.lower):
-    t: float
+    """Base of all records. The key `is` holds the class name in lower case."""
+
+    t: float  # when it happened
 
 
 class Asked(Record, frozen=True):
-    """A client has sent its first line."""
+    """A client sent the first line of a tunnel request."""
 
-    name: str  # the tunnel's id, new with each try
+    name: str  # the tunnel's id, new with each attempt
     client: int
-    intended: float  # when this try was to come
+    intended: float  # when this attempt was due
     balancer: int
-    profile: int
-    patience: float
-    tries: int
-    back: bool  # its tunnel broke or was moved
+    profile: int  # index of the profile in the scenario
+    patience: float  # seconds; client timeout
+    tries: int  # attempts before this one
+    back: bool  # returning: its tunnel broke or was moved
 
 
 class Answered(Record, frozen=True):
-    """A client's final answer, or none in time, or an end without one."""
+    """A client received its final answer, or none in time, or its connection ended without one."""
 
     name: str
     how: Literal["opened", "declined", "failed", "none", "lost"]
@@ -36,39 +38,39 @@
 
 
 class Further(Record, frozen=True):
-    """Something came after the last answer, or a line that no server made."""
+    """A client received a line after the final answer, or one that no server sends."""
 
     name: str
     line: str
 
 
 class Ended(Record, frozen=True):
-    """An open tunnel has ended, as its client saw it."""
+    """An open tunnel ended at its client."""
 
     name: str
     how: Literal["own", "moved", "bye", "lost"]
 
 
 class Second(Record, frozen=True):
-    """Credit asked and earned in one second, by profile."""
+    """Credit that all clients asked for and earned in one second, by profile."""
 
     asked: list[float]
     served: list[float]
-    open: int
+    open: int  # open tunnels
 
 
 class Took(Record, frozen=True):
-    """A server has read a setup's whole line; `began` is when its connection stood."""
+    """A server received the whole line of a setup."""
 
     server: str
     balancer: int
     name: str
-    began: float
-    start: int  # the server's starts so far
+    began: float  # when its connection was accepted
+    start: int  # number of the server's start, from 1
 
 
 class Said(Record, frozen=True):
-    """A server's answer to a setup: UP RECEIPT, BUSY or ERR."""
+    """A server answered a setup with UP RECEIPT, BUSY or ERR."""
 
     server: str
     name: str
@@ -76,7 +78,7 @@
 
 
 class Gone(Record, frozen=True):
-    """A setup or tunnel has ended at its server."""
+    """A setup or open tunnel ended at its server."""
 
     server: str
     name: str
@@ -84,32 +86,34 @@
 
 
 class State(Record, frozen=True):
-    """How a server stands, each second."""
+    """State of a server, each second."""
 
     server: str
-    load: float
+    load: float  # work asked for a second, relative to capacity
     tunnels: int
-    piled: float
+    piled: float  # backlog, in work
     health: str
-    warmth: float
+    warmth: float  # share of the full capacity by slow start
 
 
 class Started(Record, frozen=True):
+    """A server started."""
+
     server: str
-    start: int
+    start: int  # number of its starts so far, from 1
     cold: bool
 
 
 class Fell(Record, frozen=True):
-    """A cold server was pushed over."""
+    """A cold server was overloaded."""
 
     server: str
-    came: int
-    budget: float
+    came: int  # setups within the overload window
+    budget: float  # setups that it can take in that window
 
 
 class Changed(Record, frozen=True):
-    """Discovery knows of a change."""
+    """The status of a server changed at discovery."""
 
     server: str
     status: str
@@ -117,16 +121,16 @@
 
 
 class Wrote(Record, frozen=True):
-    """Discovery has written its list, or changes, to a balancer."""
+    """Discovery wrote its list, or changes to it, to a balancer."""
 
     balancer: int
     index: int
-    statuses: dict[str, str]
-    whole: bool
+    statuses: dict[str, str]  # by server
+    whole: bool  # the whole list
 
 
 class Balancer(Record, frozen=True):
-    """What the rig did with a balancer, or saw of it."""
+    """What the run did to a balancer process, or observed of it."""
 
     number: int
     what: Literal[
@@ -135,16 +139,16 @@
 
 
 class Mark(Record, frozen=True):
-    """A trouble begins or ends."""
+    """A trouble of the scenario begins or ends."""
 
-    number: int
+    number: int  # its index in the scenario
     what: str
-    which: list[int]
+    which: list[int]  # numbers of the balancers or servers concerned
     ends: bool
 
 
 class Talk(Record, frozen=True):
-    """What one balancer has sent to others, each second that it sent anything."""
+    """Datagrams that a balancer sent to others, for each second in which it sent any."""
 
     balancer: int
     datagrams: int
@@ -152,17 +156,17 @@
 
 
 class Strain(Record, frozen=True):
-    """How a part of the rig fared itself, each second."""
+    """Lag and processor use of a process of the testbed, each second."""
 
-    who: str
-    lag: float  # seconds that its loop was late, at most
+    who: str  # name of the process
+    lag: float  # greatest lag of its event loop in that second, in seconds
     cpu: float  # share of a core
 
 
 class Machine(Record, frozen=True):
-    """The machine under all of it, each second."""
+    """Load of the machine, each second."""
 
-    idle: float  # share of its cores that did nothing
+    idle: float  # share of its processor time that was idle
 
 
 AnyRecord = (
@@ -174,24 +178,29 @@
 
 
 class Writer:
-    """Appends records to a file. Each is written at once: a killed process leaves whole lines."""
+    """Appends records to a file, each in one unbuffered write: a killed process leaves whole lines."""
 
     def __init__(self, path: str) -> None:
         self._file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
 
     def write(self, record: AnyRecord) -> None:
+        """Appends a record."""
         os.write(self._file, _encoder.encode(record) + b"\n")
 
     def close(self) -> None:
+        """Closes the file."""
         os.close(self._file)
 
 
 def read(folder: Path) -> list[AnyRecord]:
-    """All records of a run, in order of time. A last line that was cut off by a kill is left out."""
-    found: list[AnyRecord] = []
+    """Reads all records of a run, in order of time. A line cut off by a kill is skipped.
+
+    Raises msgspec.DecodeError on any other line that is not a record.
+    """
+    records: list[AnyRecord] = []
     for path in sorted(folder.glob("*.jsonl")):
-        found += _read_lines(path)
-    return sorted(found, key=lambda record: record.t)
+        records += _read_lines(path)
+    return sorted(records, key=lambda record: record.t)
 
 
 def _read_lines(path: Path) -> Iterator[AnyRecord]:
--- a/pointgw/testbed/scenario.py
+++ b/pointgw/testbed/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario: sizes, demand, and a timeline of troubles. TOML, checked as a whole."""
+"""Scenario files (TOML): sizes of the fleet, demand, and a timeline of troubles; validated as a whole."""
 
 from __future__ import annotations
 
@@ -30,102 +30,107 @@
 
 
 class StrictStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    pass
+    """Base of all parts of a scenario: immutable, with no unknown keys."""
 
 
 class Kind(StrictStruct, frozen=True, forbid_unknown_fields=True):
     """A kind of server machine."""
 
     name: str
-    share: Positive = 1.0  # of the fleet, against the other kinds'
-    capacity: Positive = 1.0  # work a second, against the others'
+    share: Positive = 1.0  # of the fleet, relative to the other kinds'
+    capacity: Positive = 1.0  # work a second
 
 
 class Fleet(StrictStruct, frozen=True, forbid_unknown_fields=True):
+    """Balancers and servers, and how they are set up. Times in seconds."""
+
     balancers: Annotated[int, msgspec.Meta(ge=1, le=MAX_BALANCERS)] = 3
     servers: Annotated[int, msgspec.Meta(ge=2, le=MAX_SERVERS)] = 12
     spare_servers: Count = 0  # not running at the start; `server-start` starts them
     zones: tuple[str, ...] = ("a", "b")
     kinds: tuple[Kind, ...] = (Kind("m", 1.0, 1.0),)
-    holds: PositiveCount = 2000  # connections that a server accepts, then it is full
-    group_cost: NonNegative = 0.0  # work a second that a server pays for each group it holds, once
-    setup_work: NonNegative = 0.004  # work that a setup costs
-    message_work: NonNegative = 0.0002  # work within one message, as the shortest time of an answer
-    cold_from: Fraction = 0.2  # the share of capacity that a server starts with
-    cold_seconds: Positive = 10.0  # until it has all of it
-    tip_multiple: Positive = 3.0  # work sent over what it can do then, for `tip_seconds`: it falls over
-    tip_seconds: Positive = 2.0
-    thrash: Fraction = 0.3  # of capacity lost while over a second of work is piled up
-    drops_after: Positive = 3.0  # seconds of work piled up at which a server drops its heaviest tunnel
-    report_every: Positive = 0.2  # seconds between two looks of a server at itself
-    report_late: NonNegative = 0.03
-    report_noise: Fraction = 0.05
-    tells_load: bool = True  # servers say LOAD
-    drain_grace: Positive = 0.5  # seconds after which nothing new may come once a balancer was told
+    holds: PositiveCount = 2000  # tunnels that a server accepts before it is full
+    group_cost: NonNegative = 0.0  # work a second for each group with a tunnel at the server
+    setup_work: NonNegative = 0.004  # work for a setup
+    message_work: NonNegative = 0.0002  # work for a message, from which its answer's delay follows
+    cold_from: Fraction = 0.2  # slow start: share of capacity at first
+    cold_seconds: Positive = 10.0  # slow start: until full capacity
+    tip_multiple: Positive = 3.0  # overload factor: this multiple of its capacity overloads a cold server
+    tip_seconds: Positive = 2.0  # overload window
+    thrash: Fraction = 0.3  # share of capacity lost while the backlog exceeds a second of work
+    drops_after: Positive = 3.0  # backlog, in seconds of work, above which a server drops its heaviest tunnel
+    report_every: Positive = 0.2  # interval of a server's load reports
+    report_late: NonNegative = 0.03  # delay of a report
+    report_noise: Fraction = 0.05  # error of a report's figures, as a share
+    tells_load: bool = True  # servers send LOAD
+    drain_grace: Positive = 0.5  # time within which a notified balancer has to stop sending
     probes: bool = True
-    tells_shares: bool = False  # settings tell how many tunnels the tenants' shares allow
+    tells_shares: bool = False  # settings give the tenant's quota of connections
     max_setups: PositiveCount = 4
     probe_price: NonNegative = 0.005
-    remembers: bool = False  # balancers keep a memory on disk, in the run's folder
-    talks: bool = False  # balancers know of each other: peers for them, and `[tier]`
-    regions: dict[str, tuple[str, ...]] = {}  # zones by region, for that
-    recovers: bool = False  # balancers lend one another cold room: peers for them, and `[recovery]`
+    remembers: bool = False  # balancers write snapshots to disk, in the run's folder
+    talks: bool = False  # balancers form a cluster: peers in the start-up file, and `[tier]`
+    regions: dict[str, tuple[str, ...]] = {}  # zones by region, for the cluster
+    recovers: bool = False  # balancers lease slow-start capacity from each other: peers, and `[recovery]`
 
     @property
     def has_peers(self) -> bool:
-        """Whether balancers hear one another."""
+        """Whether balancers exchange datagrams."""
         return self.talks or self.recovers
 
 
 class Profile(StrictStruct, frozen=True, forbid_unknown_fields=True):
+    """A profile as balancers are told it, with its share of the demand. Times in seconds."""
+
     name: str
-    share: Positive = 1.0
+    share: Positive = 1.0  # of the clients, relative to the other profiles'
     semantics: Literal["pure", "token", "side_effect"] = "pure"
     group: Literal["all", "zone", "cell"] = "all"
-    window: NonNegative = 5.0
-    setup_goal: Positive = 0.3
+    window: NonNegative = 5.0  # dedup window of a token
+    setup_goal: Positive = 0.3  # attempt timeout
     client_timeout: Positive = 1.8
     credit: Positive = 1.0
 
 
 class Demand(StrictStruct, frozen=True, forbid_unknown_fields=True):
+    """What clients do. Times in seconds."""
+
     arrivals: Positive = 12.0  # new clients a second, Poisson
-    standing: Count = 0  # clients that come within the first three seconds, before these
-    life: Positive = 12.0  # seconds, the median of a lognormal
+    standing: Count = 0  # further clients, which arrive within the first three seconds
+    life: Positive = 12.0  # lifetime of a tunnel, the median of a lognormal distribution
     life_sigma: NonNegative = 0.8
-    load: Positive = 0.004  # work a second that a tunnel asks, the median
+    load: Positive = 0.004  # work a second that a tunnel asks for, the median
     load_sigma: NonNegative = 0.6
-    swing: Fraction = 0.4  # of the load, up and down over a tunnel's life
-    groups: Count = 0  # 0: each client by itself
-    message_every: Positive = 1.0  # seconds between a client's lines
-    burst_every: NonNegative = 0.0  # seconds between two small bursts; 0: none
+    swing: Fraction = 0.4  # range of load changes in a tunnel's lifetime, as a share of the load
+    groups: Count = 0  # 0: tunnels without a group
+    message_every: Positive = 1.0  # interval of a client's lines
+    burst_every: NonNegative = 0.0  # interval of small bursts; 0: none
     burst_size: PositiveCount = 20
-    retry_first: Positive = 0.1  # seconds until a client comes again; doubled each time, up to
-    retry_last: Positive = 2.0
-    tries: PositiveCount = 8  # after these it stays away
-    slow_readers: Fraction = 0.0  # of the clients: they read a few bytes at a time
+    retry_first: Positive = 0.1  # delay before the first retry, doubled for each further one
+    retry_last: Positive = 2.0  # upper bound of that delay
+    tries: PositiveCount = 8  # attempts after which a client gives up
+    slow_readers: Fraction = 0.0  # share of clients that read a few bytes at a time
 
 
 class Trouble(StrictStruct, frozen=True, forbid_unknown_fields=True):
-    """One entry of the timeline; any of them may overlap."""
+    """One entry of the timeline. Troubles may overlap. Times in seconds."""
 
-    at: NonNegative
+    at: NonNegative  # from the scenario's start
     what: TroubleName
-    seconds: NonNegative = 0.0  # how long; 0: for good, or just once
-    which: tuple[Count, ...] = ()  # numbers of the balancers or servers; none: `count` by chance
+    seconds: NonNegative = 0.0  # duration; 0: until the end, or a single event
+    which: tuple[Count, ...] = ()  # numbers of the balancers or servers; empty: `count` at random
     count: PositiveCount = 1
-    size: NonNegative = (
-        1.0  # share of setups that fail, of capacity left, of clients dropped; times the demand;
-    )
-    # of datagrams lost
-    late: NonNegative = 1.5  # seconds until discovery notices; that a datagram is late at most
-    rule: tuple[Rule, ...] = ()  # links: what their boxes do
-    side: Literal["servers", "clients"] = "servers"  # links: those to servers, or from clients
-    of: tuple[Count, ...] = ()  # links to servers: of these balancers alone; none: of all
-    power: bool = False  # balancer-kill: their machines are off meanwhile, and tell a new run
+    # Share of setups that fail, of capacity left, of clients dropped, of datagrams lost; demand factor.
+    size: NonNegative = 1.0
+    late: NonNegative = 1.5  # until discovery notices; or the greatest delay of a datagram
+    rule: tuple[Rule, ...] = ()  # links: rules of their fault proxies
+    side: Literal["servers", "clients"] = "servers"  # links: to servers, or from clients
+    of: tuple[Count, ...] = ()  # links to servers: only of these balancers; empty: of all
+    power: bool = False  # balancer-kill: the machine loses power, so it has a new boot id afterwards
 
     @property
     def target(self) -> Target:
+        """The kind of process or connection that the trouble concerns."""
         match self.what.split("-")[0]:
             case "balancer":
                 return "balancer"
@@ -141,8 +146,10 @@
 
 
 class Scenario(StrictStruct, frozen=True, forbid_unknown_fields=True):
+    """A scenario file."""
+
     name: str
-    about: str
+    about: str  # one line for people
     seconds: Annotated[float, msgspec.Meta(ge=5.0, le=3600.0)] = 40.0
     seed: int = 1
     fleet: Fleet = Fleet()
@@ -151,6 +158,7 @@
     trouble: tuple[Trouble, ...] = ()
 
     def check(self) -> Iterator[tuple[str, object, str]]:
+        """Yields each invalid value: its key, the value, and what is expected."""
         if self.fleet.servers + self.fleet.spare_servers > MAX_SERVERS:
             yield "fleet.spare_servers", self.fleet.spare_servers, f"at most {MAX_SERVERS} servers in all"
         for i, trouble in enumerate(self.trouble):
@@ -158,40 +166,41 @@
                 yield f"trouble[{i}].at", trouble.at, f"an end within the scenario's {self.seconds:g} seconds"
             servers = self.fleet.servers + self.fleet.spare_servers
             of_servers = trouble.target == "server" or (trouble.target, trouble.side) == ("links", "servers")
-            most = servers if of_servers else self.fleet.balancers
+            limit = servers if of_servers else self.fleet.balancers
             for number in trouble.which:
-                if number >= most:
-                    yield f"trouble[{i}].which", number, f"numbers under {most}"
+                if number >= limit:
+                    yield f"trouble[{i}].which", number, f"numbers below {limit}"
             if any(number >= self.fleet.balancers for number in trouble.of):
-                yield f"trouble[{i}].of", trouble.of, f"numbers under {self.fleet.balancers}"
+                yield f"trouble[{i}].of", trouble.of, f"numbers below {self.fleet.balancers}"
             if trouble.target == "peers" and not self.fleet.has_peers:
-                yield f"trouble[{i}].what", trouble.what, "fleet.talks or recovers, so that there are peers"
+                yield f"trouble[{i}].what", trouble.what, "fleet.talks or fleet.recovers, for peers"
             if trouble.what == "links" and not trouble.rule:
-                yield f"trouble[{i}].rule", (), "at least one rule, as what is 'links'"
+                yield f"trouble[{i}].rule", (), "at least one rule for links"
             if trouble.what == "server-start" and not self.fleet.spare_servers:
-                yield f"trouble[{i}].what", trouble.what, "fleet.spare_servers over 0"
+                yield f"trouble[{i}].what", trouble.what, "fleet.spare_servers above 0"
 
 
 def read(name: str) -> Scenario:
-    """A scenario by its path, or by its name in the library. Raises `validation.InvalidFileError`."""
+    """Reads a scenario by its path, or by its name in the library. Raises `validation.InvalidFileError`."""
     path = Path(name)
     if not path.suffix and not path.exists():
         if name not in scenario_names():
-            known = "a file, or one of " + ", ".join(scenario_names())
-            raise validation.InvalidFileError(name, [validation.InvalidValue("", "", known)])
+            expected = "a file, or one of " + ", ".join(scenario_names())
+            raise validation.InvalidFileError(name, [validation.InvalidValue("", "", expected)])
         path = LIBRARY_FOLDER / f"{name}.toml"
     return validation.read(path, Scenario)
 
 
 def scenario_names() -> list[str]:
+    """Names of the scenarios in the library, sorted."""
     return sorted(path.stem for path in LIBRARY_FOLDER.glob("*.toml"))
 
 
 def balancer_settings(scenario: Scenario, zone: int) -> dict[str, Any]:
-    """What a balancer is told of the deployment, in the start-up file's words; times in milliseconds."""
+    """The `settings` of a balancer's start-up file; times in milliseconds."""
     fleet = scenario.fleet
     capacity = fleet.servers / (scenario.demand.load or 1.0)
-    told: dict[str, Any] = {
+    content: dict[str, Any] = {
         "instances": fleet.balancers, "zone": zone, "zones": list(fleet.zones),
         "kinds": [kind.name for kind in fleet.kinds], "tenants": [{"name": "all"}],
         "membershipMode": "subscribe", "report": {"fields": ["busy", "rate", "x0"], "how": "on_probe"},
@@ -214,5 +223,5 @@
         ],
     }  # fmt: skip
     if fleet.tells_shares:
-        told["domain"] = {"tenantQuotaConnections": [capacity]}
-    return told
+        content["domain"] = {"tenantQuotaConnections": [capacity]}
+    return content
--- a/pointgw/testbed/stand_in.py
+++ b/pointgw/testbed/stand_in.py
@@ -23,7 +23,11 @@
 
 
 class StandIn:
-    """`servers` servers on ports from `listen`'s on (0: free ones), and discovery."""
+    """Stand-in servers and discovery for one balancer.
+
+    `servers` servers listen on consecutive ports from that of `listen` (0: free ports). `config` is the path
+    of the start-up file to write for a balancer that listens at `balancer`.
+    """
 
     def __init__(
         self,
@@ -42,35 +46,37 @@
         self.capacity = capacity
 
     async def start(self) -> None:
-        """Starts all, and writes the balancer's start-up file where one was asked for."""
+        """Starts servers and discovery, and writes the balancer's start-up file if `config` is given."""
         fleet, writer = self.scenario.fleet, Writer(os.devnull)
-        lines: list[Line] = []
+        entries: list[Line] = []
         addresses: dict[str, str] = {}
         self.servers: list[Server] = []
         for i in range(fleet.servers):
-            at = (self.listen[0], self.listen[1] + i if self.listen[1] else _free_port(self.listen[0]))
+            address = (self.listen[0], self.listen[1] + i if self.listen[1] else _free_port(self.listen[0]))
             name = f"s-{i}"
-            told = {"who": name, "seed": 1} | start_up.server_start_values(
-                self.scenario, self.capacity, 1, 0.0, [at]
+            start_values = {"who": name, "seed": 1} | start_up.server_start_values(
+                self.scenario, self.capacity, 1, 0.0, [address]
             )
-            server = Server(told, writer)
+            server = Server(start_values, writer)
             await server.serve()
             self.servers.append(server)
-            addresses[name] = format_address(at)
-            lines.append(Line(name, fleet.zones[i % len(fleet.zones)], "m", 0, "up", 0))
+            addresses[name] = format_address(address)
+            entries.append(Line(name, fleet.zones[i % len(fleet.zones)], "m", 0, "up", 0))
         if not self.discovery[1]:
             self.discovery = (self.discovery[0], _free_port(self.discovery[0]))
-        told = {"seed": 1, "addresses": [addresses], "listen": [self.discovery]}
-        self.discovery_server = Discovery(told | {"lines": [asdict(line) for line in lines]}, writer)
+        start_values = {"seed": 1, "addresses": [addresses], "listen": [self.discovery]}
+        self.discovery_server = Discovery(
+            start_values | {"lines": [asdict(line) for line in entries]}, writer
+        )
         await self.discovery_server.serve()
         if self.config is not None:
             config = start_up.balancer_start_file(
-                self.scenario, "n0", 0, 1, self.balancer, self.discovery, lines, addresses
+                self.scenario, "n0", 0, 1, self.balancer, self.discovery, entries, addresses
             )
             Path(self.config).write_text(json.dumps(config, indent=1))
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Starts all and serves until cancelled; prints the addresses and the start-up file's path."""
         if self.config is None:
             self.config = str(Path(tempfile.mkdtemp(prefix="pointgw-")) / "config.json")
         await self.start()
@@ -83,6 +89,7 @@
 
 
 def _free_port(host: str) -> int:
+    """A TCP port that is free at the moment."""
     with socket.socket() as sock:
         sock.bind((host, 0))
         return int(sock.getsockname()[1])
--- a/pointgw/testbed/table.py
+++ b/pointgw/testbed/table.py
@@ -1,4 +1,4 @@
-"""Results as a person reads them."""
+"""Formats results as text for people."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def format_results(results: list[Result]) -> list[str]:
-    """One run, or several seeds of one scenario and policy with their spread."""
+    """Formats one run, or the runs of several seeds of one scenario and policy, with their spread."""
     first = results[0]
     services = spread([r.service for r in results])
     lines = [
@@ -29,27 +29,31 @@
         + "   ".join(f"{how} {sum(r.answers.get(how, 0) for r in results)}" for how in sorted(answers))
     )
     lines.append(
-        f"  setups a tunnel  {spread([r.tries for r in results]).text(2)}   moves "
+        f"  setups/tunnel    {spread([r.tries for r in results]).text(2)}   moves "
         f"{sum(r.moves for r in results)}   broken {sum(r.lost for r in results)}   "
-        f"come again {sum(r.retries for r in results)}   kept long {sum(r.kept_long for r in results)}"
+        f"retries {sum(r.retries for r in results)}   late refusals {sum(r.kept_long for r in results)}"
     )
     for i, recovery in enumerate(first.recovery):
         lowest = min(r.recovery[i].lowest for r in results)
-        backs = [r.recovery[i].seconds for r in results]
-        known = [back for back in backs if back is not None]
-        back = f"back after {max(known):.0f} s" if len(known) == len(backs) else "not back within the run"
-        lines.append(f"  {recovery.what:<17} at {recovery.at:.0f} s: lowest second {lowest:.2f}, {back}")
+        durations = [r.recovery[i].seconds for r in results]
+        known = [duration for duration in durations if duration is not None]
+        outcome = (
+            f"recovered after {max(known):.0f} s"
+            if len(known) == len(durations)
+            else "not recovered within the run"
+        )
+        lines.append(f"  {recovery.what:<17} at {recovery.at:.0f} s: lowest second {lowest:.2f}, {outcome}")
     for result in results:
         prefix = f"  seed {result.seed}: " if len(results) > 1 else "  "
         lines += [prefix + line for line in result.verdict]
-        lines += [f"{prefix}NOT TO BE TRUSTED: {line}" for line in result.strain]
+        lines += [f"{prefix}UNRELIABLE: {line}" for line in result.strain]
     return lines
 
 
 def format_comparison(one: list[Result], other: list[Result]) -> list[str]:
-    """Two results of the same scenarios."""
+    """Formats the results of two policies or versions in the same scenario, figure by figure."""
     lines = []
-    pairs = (
+    figures = (
         ("service", lambda r: r.service),
         ("setup p50, ms", lambda r: 1e3 * r.setups.get("p50", 0.0)),
         ("setup p99, ms", lambda r: 1e3 * r.setups.get("p99", 0.0)),
@@ -59,7 +63,7 @@
     )
     head = f"{one[0].scenario}: {one[0].policy} -> {other[0].policy}"
     lines.append(head)
-    for name, figure in pairs:
+    for name, figure in figures:
         first, second = {r.seed: figure(r) for r in one}, {r.seed: figure(r) for r in other}
         compared = compare(first, second)
         lines.append(
--- a/pointgw/testbed/timeline.py
+++ b/pointgw/testbed/timeline.py
@@ -1,4 +1,4 @@
-"""A scenario's troubles as moments: what begins and ends when, and at whom. No I/O."""
+"""The timeline of a scenario: when each trouble begins and ends, and which processes it concerns. No I/O."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TimelineEvent:
-    """A trouble begins, or ends."""
+    """Begin or end of a trouble."""
 
     at: float  # seconds from the scenario's start
-    number: int  # of the trouble in the scenario
+    number: int  # index of the trouble in the scenario
     trouble: Trouble
     which: tuple[int, ...]  # balancers or servers, by number
     ends: bool
 
 
 def timeline_events(scenario: Scenario) -> list[TimelineEvent]:
-    """In order of time. Who is hit by chance is drawn from the scenario's seed."""
-    fleet, found = scenario.fleet, []
+    """All events of a scenario, in order of time. Random choices are drawn from its seed."""
+    fleet, events = scenario.fleet, []
     for number, trouble in enumerate(scenario.trouble):
         rng = Random(f"{scenario.seed}/trouble/{number}")
         if trouble.what == "server-start":
@@ -35,7 +35,7 @@
             which = tuple(range(fleet.servers if trouble.side == "servers" else fleet.balancers))
         elif trouble.what == "server-start" and not trouble.which:
             which = tuple(pool[: trouble.count])
-        found.append(TimelineEvent(trouble.at, number, trouble, which, False))
+        events.append(TimelineEvent(trouble.at, number, trouble, which, False))
         if trouble.seconds:
-            found.append(TimelineEvent(trouble.at + trouble.seconds, number, trouble, which, True))
-    return sorted(found, key=lambda moment: (moment.at, moment.number, moment.ends))
+            events.append(TimelineEvent(trouble.at + trouble.seconds, number, trouble, which, True))
+    return sorted(events, key=lambda event: (event.at, event.number, event.ends))
