--- a/pointgw/testbed/scenario.py
+++ b/pointgw/testbed/scenario.py
@@ -17,7 +17,8 @@
 Count = Annotated[int, msgspec.Meta(ge=0, le=10_000)]
 PositiveCount = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
 
-MAX_BALANCERS, MAX_SERVERS = 90, 200  # as the rig's addresses are laid out
+MAX_BALANCERS = 90  # the address plan has room for these
+MAX_SERVERS = 200  # the address plan has room for these
 LIBRARY_FOLDER = Path(__file__).parent / "scenarios"
 TroubleName = Literal[
     "balancer-kill", "balancer-stop", "balancer-reload", "balancer-pause", "server-drain", "server-kill",
