--- a/pointgw/testbed/results.py
+++ b/pointgw/testbed/results.py
@@ -67,7 +67,7 @@
     marks: list[tuple[float, float, str]]  # troubles: begin, end, what
 
 
-def compute_result(records: list[rec.AnyRecord], meta: Meta, verdict: CheckResult) -> Result:
+def compute_result(records: list[rec.AnyRecord], meta: Meta, check_result: CheckResult) -> Result:
     """Computes the result of a run from its records and the result of the invariant checker."""
     per_second = [r for r in records if isinstance(r, rec.Second)]
     names = [profile.name for profile in meta.scenario.profile]
@@ -101,11 +101,11 @@
         seed=meta.scenario.seed,
         service=sum(credit_served) / sum(credit_asked) if sum(credit_asked) else 0.0,
         by_profile={n: s / a for n, s, a in zip(names, credit_served, credit_asked, strict=True) if a},
-        kept=verdict.passed and verdict.tunnels_checked > 0,
-        breaches=verdict.violations_by_rule(),
-        verdict=format_result(verdict),
-        judged=verdict.tunnels_checked,
-        excused=dict(verdict.tunnels_excluded),
+        kept=check_result.passed and check_result.tunnels_checked > 0,
+        breaches=check_result.violations_by_rule(),
+        verdict=format_result(check_result),
+        judged=check_result.tunnels_checked,
+        excused=dict(check_result.tunnels_excluded),
         setups={f"p{q:g}": histogram.get_value_at_percentile(q) / 1e6 for q in PERCENTILES}
         if opened_count
         else {},
@@ -175,14 +175,14 @@
     pause_marks = [r for r in records if isinstance(r, rec.Mark) and r.what == "server-pause"]
     paused = {f"s-{number}" for record in pause_marks for number in record.which}
     limits: list[str] = []
-    for who in sorted(lags):
-        late_seconds = sum(lag > MAX_LAG_SECONDS for lag in lags[who])
-        if late_seconds > max(1, 0.05 * len(lags[who])) and who not in paused:
-            limits.append(f"{who} of the testbed lagged in {late_seconds} of {len(lags[who])} seconds")
-        busy_seconds = sum(cpu > BUSY_CORE_SHARE for cpu in cpus[who])
-        if busy_seconds > max(1, 0.05 * len(cpus[who])):
+    for name in sorted(lags):
+        late_seconds = sum(lag > MAX_LAG_SECONDS for lag in lags[name])
+        if late_seconds > max(1, 0.05 * len(lags[name])) and name not in paused:
+            limits.append(f"{name} of the testbed lagged in {late_seconds} of {len(lags[name])} seconds")
+        busy_seconds = sum(cpu > BUSY_CORE_SHARE for cpu in cpus[name])
+        if busy_seconds > max(1, 0.05 * len(cpus[name])):
             limits.append(
-                f"{who} of the testbed used a whole core in {busy_seconds} of {len(cpus[who])} seconds"
+                f"{name} of the testbed used a whole core in {busy_seconds} of {len(cpus[name])} seconds"
             )
     short_seconds = sum(share < MIN_IDLE_SHARE for share in idle)
     if short_seconds > max(1, 0.1 * len(idle)):
--- a/pointgw/testbed/run.py
+++ b/pointgw/testbed/run.py
@@ -235,7 +235,7 @@
         return [own if b == balancer else self.address_plan.peer_proxy(balancer, b) for b in balancers], own
 
     def _server_addresses(self, balancer: int) -> dict[str, str]:
-        """Address of each server as this balancer is told it, by the server's name."""
+        """Address at which this balancer reaches each server, by the server's name."""
         return {
             self._server_name(i): format_address(
                 self.address_plan.server_proxy(i, balancer)
@@ -336,13 +336,13 @@
 
     async def _start_peers(self) -> None:
         balancers = range(self.fleet.balancers)
-        ways = [
+        links = [
             (a, b, self.address_plan.peer_proxy(a, b), self.address_plan.peer(b))
             for a in balancers
             for b in balancers
             if a != b
         ]
-        await self._start_component("peers", "peers", {"ways": ways})
+        await self._start_component("peers", "peers", {"ways": links})
 
     async def _start_balancer(self, number: int) -> None:
         name = f"n{number}"
--- a/pointgw/testbed/scenario.py
+++ b/pointgw/testbed/scenario.py
@@ -81,7 +81,7 @@
 
 
 class Profile(StrictStruct, frozen=True, forbid_unknown_fields=True):
-    """A profile as balancers are told it, with its share of the demand. Times in seconds."""
+    """A profile in the settings of balancers, and its share of the demand. Times in seconds."""
 
     name: str
     share: Positive = 1.0  # of the clients, relative to the other profiles'
--- a/pointgw/testbed/table.py
+++ b/pointgw/testbed/table.py
@@ -50,7 +50,7 @@
     return lines
 
 
-def format_comparison(one: list[Result], other: list[Result]) -> list[str]:
+def format_comparison(left: list[Result], right: list[Result]) -> list[str]:
     """Formats the results of two policies or versions in the same scenario, figure by figure."""
     lines = []
     figures = (
@@ -61,10 +61,10 @@
         ("moves", lambda r: float(r.moves)),
         ("broken", lambda r: float(r.lost)),
     )
-    head = f"{one[0].scenario}: {one[0].policy} -> {other[0].policy}"
+    head = f"{left[0].scenario}: {left[0].policy} -> {right[0].policy}"
     lines.append(head)
     for name, figure in figures:
-        first, second = {r.seed: figure(r) for r in one}, {r.seed: figure(r) for r in other}
+        first, second = {r.seed: figure(r) for r in left}, {r.seed: figure(r) for r in right}
         compared = compare(first, second)
         lines.append(
             f"  {name:<14} {spread(list(first.values())).text():>18} -> "
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -131,8 +131,8 @@
     scenario = read("demo")
     assert timeline_events(scenario) == timeline_events(scenario)
     for name in scenario_names():
-        for moment in timeline_events(read(name)):
-            assert moment.which or moment.trouble.target in ("discovery", "clients")
+        for event in timeline_events(read(name)):
+            assert event.which or event.trouble.target in ("discovery", "clients")
     assert len(scenario_names()) >= 14
 
 
@@ -225,13 +225,13 @@
 
 def test_a_run_is_void_when_a_testbed_process_dies(tmp_path: Path) -> None:
     async def run() -> None:
-        play = ScenarioRun(SHORT, tmp_path)
-        playing = asyncio.create_task(play.execute())
-        while "clients" not in play.components:
+        scenario_run = ScenarioRun(SHORT, tmp_path)
+        run_task = asyncio.create_task(scenario_run.execute())
+        while "clients" not in scenario_run.components:
             await asyncio.sleep(0.05)
-        play.components["s-2"].process.kill()
+        scenario_run.components["s-2"].process.kill()
         with pytest.raises(InvalidRunError, match="s-2"):
-            await playing
+            await run_task
 
     asyncio.run(run())
     assert not processes_of(tmp_path)
