--- a/pointgw/testbed/run.py
+++ b/pointgw/testbed/run.py
@@ -41,7 +41,7 @@
 
 
 class InvalidRunError(Exception):
-    """A process of the testbed itself failed, so the run is void. The message names the process."""
+    """The run is void, as the testbed itself failed. The message says where."""
 
 
 @dataclass(slots=True, eq=False)
