--- a/pointgw/testbed/invariant_checker.py
+++ b/pointgw/testbed/invariant_checker.py
@@ -221,7 +221,7 @@
                 text = "its client received neither an answer nor the end of its connection"
                 self._add_violation(1, latest, name, text, tunnel.history(self.meta.began))
             else:
-                self.result.tunnels_excluded["requested too close to the end of the run"] += 1
+                self.result.tunnels_excluded["asked at the very end"] += 1
             return
         self.result.tunnels_checked += 1
         first = tunnel.answers[0]
@@ -250,7 +250,7 @@
     def _is_excluded(self, asked: rec.Asked) -> bool:
         """Whether its answers can't be checked; counts the reason."""
         if self.meta.boxed_clients:
-            self.result.tunnels_excluded["behind a fault proxy between clients and balancers"] += 1
+            self.result.tunnels_excluded["behind a box between clients and balancers"] += 1
             return True
         until = asked.t + asked.patience + TIMING_TOLERANCE_SECONDS
         if any(
