--- a/tests/crossing/test_accept.py
+++ b/tests/crossing/test_accept.py
@@ -47,7 +47,7 @@
         daemon.process.send_signal(signal.SIGCONT)
         await asyncio.sleep(SHORT_SPAN)
         assert daemon.faults.counts(Call.ACCEPT)[1] >= 1
-        daemon.faults.mend(Call.ACCEPT)
+        daemon.faults.clear(Call.ACCEPT)
         assert await asyncio.gather(*waiting) == [b"UP r-1\r\n"] * CLIENTS
 
     beside_daemon(scene, tmp_path)
@@ -81,7 +81,7 @@
         waits = asyncio.create_task(daemon.request("r1", within=4.0))
         await asyncio.sleep(0.5)
         assert daemon.faults.counts(Call.ACCEPT)[1] < 100 * ACCEPT_BATCH
-        daemon.faults.mend(Call.ACCEPT)
+        daemon.faults.clear(Call.ACCEPT)
         assert await waits == b"UP r-1\r\n"
 
     beside_daemon(scene, tmp_path)
--- a/tests/crossing/test_system_calls.py
+++ b/tests/crossing/test_system_calls.py
@@ -47,7 +47,7 @@
             assert await daemon.request(f"before-{number}") == b"UP r-1\r\n"
         daemon.faults.fail(call, fault)
         during = await requests(daemon, "during", SPAN)
-        daemon.faults.mend(call)
+        daemon.faults.clear(call)
         await asyncio.sleep(0.1)
         after = await asyncio.gather(*await requests(daemon, "after", AFTER))
         assert after == [b"UP r-1\r\n"] * len(after), f"{after.count(REFUSED)} of {len(after)} refused"
@@ -91,7 +91,7 @@
         daemon.world.watch.answer(2, daemon.world.line(0, status="draining"))
         await asyncio.sleep(2.5)
         assert await daemon.request("r1") == b"UP r-1\r\n"
-        daemon.faults.mend(call)
+        daemon.faults.clear(call)
         end = time.monotonic() + 5.0
         while not any(b"draining" in f.read_bytes() or b"leaving" in f.read_bytes() for f in states(folder)):
             assert time.monotonic() < end, "the drain was never written"
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -8,13 +8,13 @@
 import uvloop
 
 from soak import disturbances
-from soak.world import DESCRIPTORS, Outcome, World, clean
+from soak.world import DEFAULT_DESCRIPTORS, Outcome, World, remove_folder
 
 
-def play(seed: int, told: argparse.Namespace, only: tuple[str, ...]) -> Outcome:
+def run_seed(seed: int, options: argparse.Namespace, only: tuple[str, ...]) -> Outcome:
     async def one() -> Outcome:
-        world = World(seed, told.seconds, told.balancers, told.servers, only, told.descriptors)
-        return await world.play()
+        world = World(seed, options.seconds, options.balancers, options.servers, only, options.descriptors)
+        return await world.run()
 
     return uvloop.run(one())
 
@@ -25,27 +25,31 @@
     parser.add_argument("--seconds", type=float, default=15.0)
     parser.add_argument("--balancers", type=int, default=12)
     parser.add_argument("--servers", type=int, default=12)
-    parser.add_argument("--descriptors", type=int, default=DESCRIPTORS, help="that each balancer may hold")
-    parser.add_argument("--only", default="", help="disturbances, by name: " + ", ".join(disturbances.ALL))
+    parser.add_argument(
+        "--descriptors", type=int, default=DEFAULT_DESCRIPTORS, help="that each balancer may hold"
+    )
+    parser.add_argument(
+        "--only", default="", help="disturbances, by name: " + ", ".join(disturbances.DISTURBANCES)
+    )
     parser.add_argument(
         "--keep", action="store_true", help="keep the folder with the logs also where all held"
     )
-    told = parser.parse_args()
-    first, _, end = told.seeds.partition(":")
-    only = tuple(name for name in told.only.split(",") if name)
-    broken = 0
+    options = parser.parse_args()
+    first, _, end = options.seeds.partition(":")
+    only = tuple(name for name in options.only.split(",") if name)
+    failed = 0
     for seed in range(int(first), int(end)):
-        outcome = play(seed, told, only)
-        word = "late" if outcome.late else "kept" if outcome.kept else "BROKEN"
-        print(f"seed {seed}: {word} {outcome.figures}", flush=True)
-        broken += not outcome.kept
-        if not outcome.kept:
+        outcome = run_seed(seed, options, only)
+        verdict = "late" if outcome.loop_late else "kept" if outcome.passed else "BROKEN"
+        print(f"seed {seed}: {verdict} {outcome.figures}", flush=True)
+        failed += not outcome.passed
+        if not outcome.passed:
             print(f"  logs: {outcome.folder}\n  schedule: {outcome.schedule}")
             for violation in outcome.violations[:12]:
                 print(f"  {violation}")
-        elif not told.keep:
-            clean(outcome)
-    return 1 if broken else 0
+        elif not options.keep:
+            remove_folder(outcome)
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak/balancer.py
+++ b/tests/soak/balancer.py
@@ -16,7 +16,7 @@
 from soak.syscall_faults import SyscallFaults
 
 ROOT = Path(__file__).parents[2]
-READY_WITHIN = 10.0  # seconds
+READY_TIMEOUT = 10.0  # seconds
 PORT = 8443  # that all listen on, each at an address of its own: no outgoing connection can have it
 
 
@@ -26,13 +26,13 @@
     def __init__(self, number: int, host: str, folder: Path, seed: int, descriptors: int) -> None:
         self.number, self.host, self.folder, self.descriptors = number, host, folder, descriptors
         self.name = f"n{number}"
-        self.config = folder / f"{self.name}.json"
-        self.operator = folder / f"{self.name}.toml"
+        self.config_path = folder / f"{self.name}.json"
+        self.operator_path = folder / f"{self.name}.toml"
         self.log_path = folder / f"{self.name}.log"
         self.faults = SyscallFaults(folder / f"{self.name}.faults", seed)
         self.process: subprocess.Popen[bytes] | None = None
         self.log: IO[bytes] | None = None
-        self.starts = 0
+        self.start_count = 0
         self.ready = False
         self.stopping_at: float | None = None
         self.started_at = 0.0
@@ -41,24 +41,24 @@
         self.discovery_port = 0
         self.killed_at: dict[int, float] = {}  # by start: when it was ended by force
 
-    def write_config(self, told: dict[str, Any]) -> None:
+    def write_config(self, config: dict[str, Any]) -> None:
         """Replaces the file in one step."""
-        aside = self.config.with_suffix(".new")
-        aside.write_text(json.dumps(told))
-        aside.rename(self.config)
+        new_path = self.config_path.with_suffix(".new")
+        new_path.write_text(json.dumps(config))
+        new_path.rename(self.config_path)
 
-    def keep_snapshots(self) -> None:
+    def enable_snapshots(self) -> None:
         """From its next start on it keeps one, in a folder of its own that outlives it."""
-        self.operator.write_text(f'[state]\nfolder = "{self.folder / self.name}-state"\n')
+        self.operator_path.write_text(f'[state]\nfolder = "{self.folder / self.name}-state"\n')
 
     def start(self) -> None:
-        self.starts += 1
+        self.start_count += 1
         self.ready, self.stopping_at, self.started_at = False, None, time.monotonic()
         if self.log is None:
             self.log = self.log_path.open("ab")
-        environment = os.environ | self.faults.environment() | {"GW_CONFIG": str(self.config)}
-        if self.operator.exists():
-            environment["GW_OPERATOR"] = str(self.operator)
+        environment = os.environ | self.faults.environment() | {"GW_CONFIG": str(self.config_path)}
+        if self.operator_path.exists():
+            environment["GW_OPERATOR"] = str(self.operator_path)
         limit = self.descriptors
         self.process = subprocess.Popen(
             [sys.executable, "-O", "-m", "pointgw"], env=environment, cwd=ROOT, stderr=self.log,
@@ -66,10 +66,10 @@
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit)),
         )  # fmt: skip
 
-    async def until_ready(self) -> bool:
+    async def wait_until_ready(self) -> bool:
         """Asks with PING as the front does; False where it is not ready in time."""
-        starts, end = self.starts, self.started_at + 3 * READY_WITHIN
-        while time.monotonic() < end and self.starts == starts and self.alive():
+        starts, deadline = self.start_count, self.started_at + 3 * READY_TIMEOUT
+        while time.monotonic() < deadline and self.start_count == starts and self.is_alive():
             if await self._answers_ping():
                 self.ready = True
                 self.ready_times.append(time.monotonic() - self.started_at)
@@ -90,28 +90,28 @@
         finally:
             writer.close()
 
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         return self.process is not None and self.process.poll() is None
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def terminate(self) -> None:
         self.stopping_at = time.monotonic()
-        self.signal(signal.SIGTERM)
+        self.send_signal(signal.SIGTERM)
 
     def kill(self) -> None:
         self.ready, self.stopping_at = False, time.monotonic()
-        if self.alive():  # else it ended by itself, and what it left unanswered is lost
-            self.killed_at[self.starts] = time.monotonic()
-        self.signal(signal.SIGKILL)
+        if self.is_alive():  # else it ended by itself, and what it left unanswered is lost
+            self.killed_at[self.start_count] = time.monotonic()
+        self.send_signal(signal.SIGKILL)
 
-    async def ended(self, within: float) -> bool:
+    async def wait_until_ended(self, timeout: float) -> bool:
         """Whether the process ends in time."""
-        end = time.monotonic() + within
-        while time.monotonic() < end:
-            if not self.alive():
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline:
+            if not self.is_alive():
                 return True
             await asyncio.sleep(0.01)
         return False
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -26,7 +26,7 @@
     name: str
     effect: Effect
     group: str  # of servers that know a keyed repeat: all, zone, cell
-    window: float
+    dedup_window: float
     attempt_timeout: float
     deadline: float
 
@@ -38,19 +38,19 @@
     balancers: int
     servers: int
     classes: tuple[RequestClass, ...]
-    mode: str  # how the list is had: asked for, or pushed
+    membership_mode: str  # how the list is had: asked for, or pushed
     may_cancel: bool
     probes: bool
     max_attempts: int
     connect_timeout: float
     drain_grace: float
-    ask_every: float
+    list_request_interval: float
     slow_start_share: float
     warm_up: float
     overload_factor: float
     overload_window: float
-    server_connections: int  # that fill a warm server
-    arrivals: float  # requests a second, over all balancers
+    connections_per_server: int  # that fill a warm server
+    arrival_rate: float  # requests a second, over all balancers
     descriptors: int
     snapshots: bool  # each balancer keeps one on disk
 
@@ -59,7 +59,7 @@
         profiles = [
             {
                 "name": one.name, "semantics": one.effect.value, "group": one.group,
-                "dedupWindow": one.window * 1e3, "setupGoal": one.attempt_timeout * 1e3,
+                "dedupWindow": one.dedup_window * 1e3, "setupGoal": one.attempt_timeout * 1e3,
                 "clientTimeout": one.deadline * 1e3, "credit": 1.0,
             }
             for one in self.classes
@@ -70,46 +70,46 @@
             "maxRetryAfter": 1000.0,
         }  # fmt: skip
         rules = {
-            "askEvery": self.ask_every * 1e3, "stopSendingWithin": self.drain_grace * 1e3,
+            "askEvery": self.list_request_interval * 1e3, "stopSendingWithin": self.drain_grace * 1e3,
             "coldFrom": self.slow_start_share, "cold": self.warm_up * 1e3,
             "tipMultiple": self.overload_factor, "fall": self.overload_window * 1e3,
         }  # fmt: skip
         return {
             "instances": self.balancers, "me": number, "zones": list(ZONES), "zone": number % len(ZONES),
             "kinds": ["m"], "profiles": profiles, "tenants": [{"name": "acme"}],
-            "membershipMode": self.mode, "report": {"fields": ["busy", "rate", "x0"]},
+            "membershipMode": self.membership_mode, "report": {"fields": ["busy", "rate", "x0"]},
             "prices": {"probe": 0.003}, "limits": limits, "rules": rules,
         }  # fmt: skip
 
 
-def draw(rng: Random, balancers: int, servers: int, descriptors: int) -> Deployment:
+def draw_deployment(rng: Random, balancers: int, servers: int, descriptors: int) -> Deployment:
     """A deployment within what the protocol page describes."""
-    stretch = rng.choice((0.6, 1.0, 1.6))
+    time_scale = rng.choice((0.6, 1.0, 1.6))
     classes = (
-        RequestClass("view", Effect.SAFE, "all", 0.0, 0.3 * stretch, 1.8 * stretch),
+        RequestClass("view", Effect.SAFE, "all", 0.0, 0.3 * time_scale, 1.8 * time_scale),
         RequestClass(
-            "sync", Effect.KEYED, rng.choice(("all", "zone", "cell")), rng.uniform(0.2, 2.0), 0.3 * stretch,
-            1.8 * stretch,
+            "sync", Effect.KEYED, rng.choice(("all", "zone", "cell")), rng.uniform(0.2, 2.0),
+            0.3 * time_scale, 1.8 * time_scale,
         ),
-        RequestClass("order", Effect.UNSAFE, "cell", 0.0, 0.4 * stretch, 1.8 * stretch),
+        RequestClass("order", Effect.UNSAFE, "cell", 0.0, 0.4 * time_scale, 1.8 * time_scale),
     )  # fmt: skip
     return Deployment(
         balancers=balancers,
         servers=servers,
         classes=classes,
-        mode=rng.choice(("subscribe", "subscribe", "automatic")),
+        membership_mode=rng.choice(("subscribe", "subscribe", "automatic")),
         may_cancel=rng.random() < 0.7,
         probes=rng.random() < 0.8,
         max_attempts=rng.choice((3, 4, 6)),
         connect_timeout=rng.choice((0.06, 0.12, 0.25)),
         drain_grace=rng.choice((0.1, 0.4, 0.5, 1.0)),
-        ask_every=10.0,
+        list_request_interval=10.0,
         slow_start_share=rng.choice((0.13, 0.3)),
         warm_up=rng.choice((6.0, 15.0)),
         overload_factor=rng.choice((2.5, 3.0, 4.0)),
         overload_window=rng.choice((1.0, 2.0)),
-        server_connections=40,
-        arrivals=4.0 * balancers,
+        connections_per_server=40,
+        arrival_rate=4.0 * balancers,
         descriptors=descriptors,
         snapshots=rng.random() < 0.4,
     )
--- a/tests/soak/disturbances.py
+++ b/tests/soak/disturbances.py
@@ -48,9 +48,9 @@
 async def pause(world: World, rng: Random) -> None:
     """Processes that stand still for a moment, as on a machine that is short of processors."""
     for balancer in rng.sample(world.balancers, k=3):
-        balancer.signal(signal.SIGSTOP)
+        balancer.send_signal(signal.SIGSTOP)
         await asyncio.sleep(rng.uniform(0.02, 0.14))
-        balancer.signal(signal.SIGCONT)
+        balancer.send_signal(signal.SIGCONT)
 
 
 async def reload(world: World, rng: Random) -> None:
@@ -62,13 +62,13 @@
 
 
 async def server_misbehaves(world: World, rng: Random) -> None:
-    behaviour = rng.choice([one for one in server.Behaviour if one is not server.Behaviour.SOUND])
-    hit = rng.sample(world.servers, k=rng.randint(1, max(1, len(world.servers) // 3)))
-    for one in hit:
+    behaviour = rng.choice([one for one in server.Behaviour if one is not server.Behaviour.NORMAL])
+    affected = rng.sample(world.servers, k=rng.randint(1, max(1, len(world.servers) // 3)))
+    for one in affected:
         one.behaviour = behaviour
     await asyncio.sleep(rng.uniform(0.5, 4.0))
-    for one in hit:
-        one.behaviour = server.Behaviour.SOUND
+    for one in affected:
+        one.behaviour = server.Behaviour.NORMAL
 
 
 async def servers_drain(world: World, rng: Random) -> None:
@@ -87,77 +87,77 @@
 
 
 async def discovery_fails(world: World, rng: Random) -> None:
-    sound = (discovery.Behaviour.SOUND,)
-    world.discovery.behave(rng.choice([one for one in discovery.Behaviour if one not in sound]))
+    excluded = (discovery.Behaviour.NORMAL,)
+    world.discovery.set_behaviour(rng.choice([one for one in discovery.Behaviour if one not in excluded]))
     await asyncio.sleep(rng.uniform(0.5, 7.0))
-    world.discovery.behave(discovery.Behaviour.SOUND)
+    world.discovery.set_behaviour(discovery.Behaviour.NORMAL)
 
 
 async def discovery_forms(world: World, rng: Random) -> None:
-    world.discovery.forms = tuple(rng.sample(list(discovery.Form), k=2))
+    world.discovery.response_forms = tuple(rng.sample(list(discovery.ResponseForm), k=2))
     await asyncio.sleep(rng.uniform(2.0, 6.0))
-    world.discovery.forms = (discovery.Form.PLAIN,)
+    world.discovery.response_forms = (discovery.ResponseForm.PLAIN,)
 
 
 async def odd_entries(world: World, rng: Random) -> None:
     """Entries of the list whose figures are out of range."""
     for fields in ({"weight": None}, {"since_ms": -1}, {"weight": -2.0}, {"type": None}, {"group": "x"}):
         one = rng.choice(world.servers)
-        world.discovery.change(one.name, world.now(), **fields)
+        world.discovery.change_entry(one.name, world.now(), **fields)
         await asyncio.sleep(0.1)
 
 
 async def burst(world: World, rng: Random) -> None:
-    usual = world.deployment.arrivals
-    world.arrivals = usual * rng.uniform(2.0, 5.0)
+    usual_rate = world.deployment.arrival_rate
+    world.arrival_rate = usual_rate * rng.uniform(2.0, 5.0)
     await asyncio.sleep(rng.uniform(0.5, 2.0))
-    world.arrivals = usual
+    world.arrival_rate = usual_rate
 
 
 async def idle_crowd(world: World, rng: Random) -> None:
     balancer = rng.choice(world.balancers)
     for _ in range(rng.randint(50, 200)):
-        world.bad_client(balancer, b"", rng.uniform(2.0, 6.0))
+        world.start_bad_client(balancer, b"", rng.uniform(2.0, 6.0))
     await asyncio.sleep(1.0)
 
 
 async def bad_clients(world: World, rng: Random) -> None:
     for _ in range(rng.randint(10, 60)):
-        world.bad_client(rng.choice(world.balancers), *world.draw_bad_data(rng))
+        world.start_bad_client(rng.choice(world.balancers), *world.draw_bad_data(rng))
         await asyncio.sleep(rng.uniform(0.0, 0.05))
 
 
 async def clients_leave(world: World, rng: Random) -> None:
-    usual, world.share_leaving = world.share_leaving, 0.6
+    usual_share, world.leaving_share = world.leaving_share, 0.6
     await asyncio.sleep(rng.uniform(0.5, 3.0))
-    world.share_leaving = usual
+    world.leaving_share = usual_share
 
 
 async def system_calls_fail(world: World, rng: Random) -> None:
     """For a moment, at some balancers, all calls of a kind or some. Interruptions are never all of them."""
     call, faults = rng.choice(SOCKET_FAULTS)
-    fault, share, span = rng.choice(faults), rng.choice((0.02, 0.2, 1.0)), rng.choice((0.02, 0.1, 0.3))
+    fault, share, seconds = rng.choice(faults), rng.choice((0.02, 0.2, 1.0)), rng.choice((0.02, 0.1, 0.3))
     if fault in (errno.EINTR, SHORTENED) or call is Call.READ:
         share = min(share, 0.2)
-    hit = rng.sample(world.balancers, k=max(1, len(world.balancers) // 3))
-    world.schedule.append(f"{call.name} {errno.errorcode.get(fault, 'short')} {share} for {span}")
-    for balancer in hit:
+    affected = rng.sample(world.balancers, k=max(1, len(world.balancers) // 3))
+    world.schedule.append(f"{call.name} {errno.errorcode.get(fault, 'short')} {share} for {seconds}")
+    for balancer in affected:
         balancer.faults.fail(call, fault, share)
-    await asyncio.sleep(span)
-    for balancer in hit:
-        balancer.faults.mend(call)
+    await asyncio.sleep(seconds)
+    for balancer in affected:
+        balancer.faults.clear(call)
 
 
 async def disk_fails(world: World, rng: Random) -> None:
     """Where a snapshot is kept: a step of its write fails, or hangs, for a while."""
     call = rng.choice((Call.OPEN, Call.FSYNC, Call.RENAME))
     fault, delay = rng.choice(((errno.EIO, 0.0), (errno.ENOSPC, 0.0), (0, 3.0)))
-    hit = rng.sample(world.balancers, k=max(1, len(world.balancers) // 2))
-    for balancer in hit:
+    affected = rng.sample(world.balancers, k=max(1, len(world.balancers) // 2))
+    for balancer in affected:
         balancer.faults.fail(call, fault, delay=delay)
     await asyncio.sleep(rng.uniform(0.5, 4.0))
-    for balancer in hit:
-        balancer.faults.mend(call)
+    for balancer in affected:
+        balancer.faults.clear(call)
 
 
 async def wall_clock_steps(world: World, rng: Random) -> None:
@@ -166,7 +166,7 @@
         balancer.faults.step_wall_clock(rng.choice((-3600.0, -5.0, 5.0, 3600.0)))
 
 
-ALL: dict[str, Disturbance] = {
+DISTURBANCES: dict[str, Disturbance] = {
     one.__name__: one
     for one in (
         planned_restart, rolling_restart, kill, mass_kill, pause, reload, server_misbehaves, servers_drain,
--- a/tests/soak/exhaustive.py
+++ b/tests/soak/exhaustive.py
@@ -27,7 +27,7 @@
 
 EFFECTS = ("pure", "token", "side_effect")
 REQUESTS = 10
-ENDS_WITHIN = 4.0  # seconds
+STOP_TIMEOUT = 4.0  # seconds
 ERRORS: dict[Call, tuple[int, ...]] = {
     Call.ACCEPT: (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.EINTR, errno.EPROTO),
     Call.SOCKET: (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class Day:
+class Run:
     """What became of one play."""
 
     effect: str
@@ -49,79 +49,79 @@
     fault: int = 0
     nth: int = 0
     answers: list[bytes] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
-    calls: dict[Call, int] = field(default_factory=dict)
-    hit: bool = False
+    violations: list[str] = field(default_factory=list)
+    call_counts: dict[Call, int] = field(default_factory=dict)
+    fault_hit: bool = False
 
     def __str__(self) -> str:
         name = errno.errorcode.get(self.fault, "short")
         call = self.call.name if self.call is not None else "none"
-        return f"{self.effect} {call} {name} call {self.nth}: {self.broken}"
+        return f"{self.effect} {call} {name} call {self.nth}: {self.violations}"
 
 
-def play(effect: str, call: Call | None = None, fault: int = 0, nth: int = 0) -> Day:
+def run_with_fault(effect: str, call: Call | None = None, fault: int = 0, nth: int = 0) -> Run:
     """Plays the day; the `nth` call of a kind fails."""
-    day = Day(effect, call, fault, nth)
+    run = Run(effect, call, fault, nth)
     folder = Path(mkdtemp(prefix="pointgw-day-"))
-    operator = folder / "operator.toml"
-    operator.write_text(f'[state]\nfolder = "{folder}/state"\n')
+    operator_path = folder / "operator.toml"
+    operator_path.write_text(f'[state]\nfolder = "{folder}/state"\n')
     profile = {"semantics": effect, "dedupWindow": 1000.0}
     try:
         beside_daemon(
-            lambda daemon: _scene(daemon, day), folder, World(servers=4, probes=True, profile=profile),
-            {"GW_OPERATOR": str(operator)}, lambda daemon: _arm(daemon, day),
+            lambda daemon: _scenario(daemon, run), folder, World(servers=4, probes=True, profile=profile),
+            {"GW_OPERATOR": str(operator_path)}, lambda daemon: _set_fault(daemon, run),
         )  # fmt: skip
-    except Exception as fault_of_the_play:
-        day.broken.append(f"{type(fault_of_the_play).__name__} {fault_of_the_play}")
+    except Exception as error:
+        run.violations.append(f"{type(error).__name__} {error}")
     finally:
         shutil.rmtree(folder, ignore_errors=True)
-    return day
+    return run
 
 
-def _arm(daemon: Daemon, day: Day) -> None:
+def _set_fault(daemon: Daemon, run: Run) -> None:
     """Before the process starts, as its own start makes calls too."""
-    if day.call is not None:
-        daemon.faults.fail(day.call, day.fault, nth=day.nth)
+    if run.call is not None:
+        daemon.faults.fail(run.call, run.fault, nth=run.nth)
 
 
-async def _scene(daemon: Daemon, day: Day) -> None:
+async def _scenario(daemon: Daemon, run: Run) -> None:
     requests = [asyncio.create_task(daemon.request(f"r{number}")) for number in range(REQUESTS // 2)]
     await asyncio.sleep(0.1)
     daemon.world.watch.answer(2, daemon.world.line(3, status="draining"))
     daemon.process.send_signal(signal.SIGHUP)
     later = range(REQUESTS // 2, REQUESTS)
     requests += [asyncio.create_task(daemon.request(f"r{number}")) for number in later]
-    day.answers = list(await asyncio.gather(*requests))
+    run.answers = list(await asyncio.gather(*requests))
     await asyncio.sleep(0.9)  # a snapshot of the drain is written
     daemon.process.send_signal(signal.SIGTERM)
-    if not await daemon.ended(ENDS_WITHIN):
-        day.broken.append("did not end")
+    if not await daemon.ended(STOP_TIMEOUT):
+        run.violations.append("did not end")
     elif daemon.process.returncode != 0:
-        day.broken.append(f"exit {daemon.process.returncode}")
-    day.calls = {call: daemon.faults.counts(call)[0] for call in Call}
-    day.hit = day.call is not None and daemon.faults.counts(day.call)[1] > 0
-    _judge(daemon, day)
+        run.violations.append(f"exit {daemon.process.returncode}")
+    run.call_counts = {call: daemon.faults.counts(call)[0] for call in Call}
+    run.fault_hit = run.call is not None and daemon.faults.counts(run.call)[1] > 0
+    _check(daemon, run)
 
 
-def _judge(daemon: Daemon, day: Day) -> None:
-    for number, answer in enumerate(day.answers):
+def _check(daemon: Daemon, run: Run) -> None:
+    for number, answer in enumerate(run.answers):
         if not answer.startswith((b"UP ", b"BUSY", b"ERR")):
-            day.broken.append(f"r{number} had no answer")
-    if day.effect == "side_effect":
+            run.violations.append(f"r{number} had no answer")
+    if run.effect == "side_effect":
         twice = [name for name, count in Counter(daemon.served).items() if count > 1]
-        day.broken.extend(f"{name} ran twice" for name in twice)
+        run.violations.extend(f"{name} ran twice" for name in twice)
     log = daemon.log()
     for mark in (b"event=broken", b"event=fault", b"Traceback", b"closed without answer"):
         if mark in log:
-            day.broken.append(f"the log has {mark.decode()}")
+            run.violations.append(f"the log has {mark.decode()}")
 
 
-def cases(counted: dict[str, Day], every: int) -> Iterator[tuple[str, Call, int, int]]:
+def cases(baselines: dict[str, Run], every: int) -> Iterator[tuple[str, Call, int, int]]:
     """Each call of each day with each error; `every`: of the calls each so-and-so-many-th."""
-    for effect, day in counted.items():
+    for effect, run in baselines.items():
         for call, errors in ERRORS.items():
             for fault in errors:
-                for nth in range(1, day.calls[call] + 1, every):
+                for nth in range(1, run.call_counts[call] + 1, every):
                     yield effect, call, fault, nth
 
 
@@ -130,23 +130,28 @@
     parser.add_argument("--at-once", type=int, default=6)
     parser.add_argument("--every", type=int, default=1, help="of the calls of a kind, each so-and-so-many-th")
     parser.add_argument("--effects", default=",".join(EFFECTS))
-    told = parser.parse_args()
-    counted = {effect: play(effect) for effect in told.effects.split(",")}
-    for effect, day in counted.items():
-        print(effect, {call.name.lower(): count for call, count in day.calls.items()}, day.broken, flush=True)
+    options = parser.parse_args()
+    baselines = {effect: run_with_fault(effect) for effect in options.effects.split(",")}
+    for effect, run in baselines.items():
+        print(
+            effect,
+            {call.name.lower(): count for call, count in run.call_counts.items()},
+            run.violations,
+            flush=True,
+        )
     hit, failed = Counter[str](), []
-    with ProcessPoolExecutor(told.at_once) as pool:
-        plays = [pool.submit(play, *case) for case in cases(counted, told.every)]
-        for number, submitted in enumerate(plays, 1):
-            day = submitted.result()
-            assert day.call is not None
-            hit[day.call.name.lower()] += day.hit
-            if day.broken:
-                failed.append(day)
-                print(day, flush=True)
+    with ProcessPoolExecutor(options.at_once) as pool:
+        futures = [pool.submit(run_with_fault, *case) for case in cases(baselines, options.every)]
+        for number, future in enumerate(futures, 1):
+            run = future.result()
+            assert run.call is not None
+            hit[run.call.name.lower()] += run.fault_hit
+            if run.violations:
+                failed.append(run)
+                print(run, flush=True)
             if number % 100 == 0:
-                print(f"{number} of {len(plays)}", flush=True)
-    print(f"{len(plays)} plays, calls hit {dict(hit)}, {len(failed)} broken")
+                print(f"{number} of {len(futures)}", flush=True)
+    print(f"{len(futures)} plays, calls hit {dict(hit)}, {len(failed)} broken")
     return 1 if failed else 0
 
 
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -14,10 +14,10 @@
     request: str
     server: str
     balancer: int
-    began_at: float  # its first byte was read
+    first_byte_at: float  # its first byte was read
     read_at: float  # its last byte was read
     never_ran: bool = False  # the server turned it away unexamined
-    may_overlap: bool = False  # seen at once with an earlier one that was still out
+    overlaps_earlier: bool = False  # seen at once with an earlier one that was still out
     answered_at: float | None = None
     ended_at: float | None = None  # its connection ended, or its sender ended sending on it
 
@@ -27,15 +27,15 @@
     """One request of a well-behaved client."""
 
     name: str
-    kind: RequestClass
+    request_class: RequestClass
     balancer: int
-    process: int  # the start of that balancer, counted
+    process_start: int  # the start of that balancer, counted
     sent_at: float  # its last byte was handed to the system
-    patience: float
+    timeout: float
     left_at: float | None = None  # its client gave up
     answers: list[tuple[float, bytes]] = field(default_factory=list)
     closed_at: float | None = None  # by the balancer
-    excused: bool = False  # the balancer was killed, or stopped by force, under it
+    exempt: bool = False  # the balancer was killed, or stopped by force, under it
     attempts: list[Attempt] = field(default_factory=list)
 
 
--- a/tests/soak/server.py
+++ b/tests/soak/server.py
@@ -21,7 +21,7 @@
 class Behaviour(Enum):
     """What a server does with a request."""
 
-    SOUND = "sound"
+    NORMAL = "sound"
     HANGS = "hangs"
     ERRORS = "errors"
     BUSY = "busy"
@@ -42,7 +42,7 @@
         self.buffer = b""
         self.attempt: Attempt | None = None
         self.first_byte_at = 0.0
-        self.open = False
+        self.tunnel_open = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -54,37 +54,37 @@
         self.buffer += data
         while b"\n" in self.buffer:
             line, _, self.buffer = self.buffer.partition(b"\n")
-            self._line(line.removesuffix(b"\r"))
+            self._line_received(line.removesuffix(b"\r"))
 
-    def _line(self, line: bytes) -> None:
+    def _line_received(self, line: bytes) -> None:
         server = self.server
-        if self.open:
+        if self.tunnel_open:
             if server.behaviour is not Behaviour.HANGS:
-                self.say(line)
+                self.send_line(line)
         elif line in (b"PING", b"STATS"):
             server.probes += 1
             if server.behaviour is not Behaviour.HANGS:
-                load = len(server.standing) / server.room()
-                self.say(b"PONG util=%.2f,qps=1,x0=%.3f" % (min(1.0, load), load))
+                load = len(server.open_tunnels) / server.capacity()
+                self.send_line(b"PONG util=%.2f,qps=1,x0=%.3f" % (min(1.0, load), load))
         elif line.startswith(b"OPEN "):
-            self._request(line)
+            self._open_received(line)
         else:
-            self.say(b"SYNTAX")
-            server.noted_syntax(line)
+            self.send_line(b"SYNTAX")
+            server.on_syntax_error(line)
 
-    def _request(self, line: bytes) -> None:
+    def _open_received(self, line: bytes) -> None:
         server, name = self.server, line.split(b" ")[1].decode()
         now = time.monotonic()
         self.attempt = Attempt(name, server.name, -1, self.first_byte_at, now)
-        server.noted(self)
+        server.on_request(self)
         match server.behaviour:
             case Behaviour.HANGS:
                 return
             case Behaviour.ERRORS:
-                self._finish(b"ERR")
+                self._answer_and_close(b"ERR")
             case Behaviour.BUSY:
                 self.attempt.never_ran = True
-                self._finish(b"BUSY")
+                self._answer_and_close(b"BUSY")
             case Behaviour.RESETS:
                 self.reset()
             case Behaviour.CLOSES:
@@ -93,36 +93,38 @@
                 self.transport.write(b"UP r")
                 server.loop.call_later(0.02, self.reset)
             case Behaviour.GARBLES:
-                self._finish(bytes(server.rng.randrange(256) for _ in range(30)).replace(b"\n", b""))
+                self._answer_and_close(
+                    bytes(server.rng.randrange(256) for _ in range(30)).replace(b"\n", b"")
+                )
             case Behaviour.ENDLESS:
                 self.transport.write(b"UP " + b"x" * 6000)
             case Behaviour.SECOND_ANSWER:
-                self.say(b"BUSY")
+                self.send_line(b"BUSY")
                 self.attempt.never_ran = True
-                server.loop.call_later(0.005, self.say, b"UP r-2")
+                server.loop.call_later(0.005, self.send_line, b"UP r-2")
             case Behaviour.SLOW:
-                server.loop.call_later(server.rng.uniform(0.05, 1.2), self.up)
-            case Behaviour.SOUND if server.draining:
+                server.loop.call_later(server.rng.uniform(0.05, 1.2), self.open_tunnel)
+            case Behaviour.NORMAL if server.draining:
                 self.attempt.never_ran = True
-                self._finish(b"BUSY")
-            case Behaviour.SOUND:
-                server.loop.call_later(server.rng.uniform(0.001, 0.03), self.up)
+                self._answer_and_close(b"BUSY")
+            case Behaviour.NORMAL:
+                server.loop.call_later(server.rng.uniform(0.001, 0.03), self.open_tunnel)
 
-    def up(self) -> None:
+    def open_tunnel(self) -> None:
         if self.transport.is_closing() or self.attempt is None or self.server.behaviour is Behaviour.HANGS:
             return
-        self.open = True
+        self.tunnel_open = True
         self.attempt.answered_at = time.monotonic()
-        self.server.standing[self] = None
-        self.say(b"UP r-%d" % self.server.starts)
+        self.server.open_tunnels[self] = None
+        self.send_line(b"UP r-%d" % self.server.start_count)
 
-    def _finish(self, line: bytes) -> None:
+    def _answer_and_close(self, line: bytes) -> None:
         assert self.attempt is not None
         self.attempt.answered_at = time.monotonic()
-        self.say(line)
+        self.send_line(line)
         self.transport.close()
 
-    def say(self, line: bytes) -> None:
+    def send_line(self, line: bytes) -> None:
         if not self.transport.is_closing():
             self.transport.write(line + b"\r\n")
 
@@ -132,7 +134,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         self.transport.abort()
 
-    def sender_has_ended(self) -> bool:
+    def sender_has_closed(self) -> bool:
         """Whether its sender gave it up, also where this loop has not read that yet."""
         sock = self.transport.get_extra_info("socket")
         if sock is None or self.transport.is_closing():
@@ -142,40 +144,40 @@
         return bool(poll.poll(0))
 
     def eof_received(self) -> None:
-        self._ended()
+        self._record_end()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._ended()
+        self._record_end()
         self.server.connections.pop(self, None)
 
-    def _ended(self) -> None:
+    def _record_end(self) -> None:
         if self.attempt is not None and self.attempt.ended_at is None:
             self.attempt.ended_at = time.monotonic()
-        self.server.standing.pop(self, None)
+        self.server.open_tunnels.pop(self, None)
 
 
 class Server:
     """One stand-in server. `noted`: called with each connection as its request has been read."""
 
     def __init__(
-        self, name: str, rng: Random, connections: int, noted: Callable[[Connection], None],
-        noted_syntax: Callable[[bytes], None],
+        self, name: str, rng: Random, connection_limit: int, on_request: Callable[[Connection], None],
+        on_syntax_error: Callable[[bytes], None],
     ) -> None:  # fmt: skip
-        self.name, self.rng, self.full_at = name, rng, connections
-        self.noted, self.noted_syntax = noted, noted_syntax
+        self.name, self.rng, self.connection_limit = name, rng, connection_limit
+        self.on_request, self.on_syntax_error = on_request, on_syntax_error
         self.loop = asyncio.get_running_loop()
-        self.behaviour = Behaviour.SOUND
+        self.behaviour = Behaviour.NORMAL
         self.draining = False
-        self.starts = 1
+        self.start_count = 1
         self.started_at = 0.0  # monotonic; 0: long ago
         self.connections: dict[Connection, None] = {}
-        self.standing: dict[Connection, None] = {}
+        self.open_tunnels: dict[Connection, None] = {}
         self.probes = 0
         self.host, self.port = "", PORT
         self.listener: asyncio.Server | None = None
 
-    def room(self) -> float:
-        return float(self.full_at)
+    def capacity(self) -> float:
+        return float(self.connection_limit)
 
     async def start(self, host: str) -> None:
         self.host = host
@@ -190,7 +192,7 @@
             connection.reset()
 
     async def restart(self) -> None:
-        self.behaviour, self.draining = Behaviour.SOUND, False
-        self.starts += 1
+        self.behaviour, self.draining = Behaviour.NORMAL, False
+        self.start_count += 1
         self.started_at = time.monotonic()
         await self.start(self.host)
--- a/tests/soak/syscall_faults.py
+++ b/tests/soak/syscall_faults.py
@@ -17,8 +17,8 @@
 
 SOURCE = Path(__file__).with_suffix(".c")
 SHORTENED = -1  # in place of an errno: one byte is read or written
-RULE = struct.Struct("<iIIIII")
-WALL_OFFSET = struct.Struct("<q")
+RULE_STRUCT = struct.Struct("<iIIIII")
+WALL_OFFSET_STRUCT = struct.Struct("<q")
 NANOSECONDS = 1_000_000_000
 
 
@@ -35,11 +35,11 @@
     RENAME = 7
 
 
-SIZE = WALL_OFFSET.size + len(Call) * RULE.size
+CONTROL_BYTES = WALL_OFFSET_STRUCT.size + len(Call) * RULE_STRUCT.size
 
 
 @cache
-def library() -> Path:
+def build_library() -> Path:
     """The built library. Raises CalledProcessError where the compiler fails."""
     built = Path(gettempdir()) / f"pointgw-syscall-faults-{os.getpid()}.so"
     command = ["cc", "-O2", "-shared", "-fPIC", "-Wall", "-o", str(built), str(SOURCE), "-ldl"]
@@ -52,14 +52,14 @@
 
     def __init__(self, path: Path, seed: int = 1) -> None:
         self.path, self.seed = path, seed
-        path.write_bytes(bytes(SIZE))
+        path.write_bytes(bytes(CONTROL_BYTES))
         self._file = path.open("r+b")
-        self._control = mmap.mmap(self._file.fileno(), SIZE)
+        self._control = mmap.mmap(self._file.fileno(), CONTROL_BYTES)
 
     def environment(self) -> dict[str, str]:
         """What the process has to be started with."""
         return {
-            "LD_PRELOAD": str(library()),
+            "LD_PRELOAD": str(build_library()),
             "SYSCALL_FAULTS_CONTROL": str(self.path),
             "SYSCALL_FAULTS_SEED": str(self.seed),
         }
@@ -67,25 +67,25 @@
     def fail(self, call: Call, fault: int, share: float = 1.0, nth: int = 0, delay: float = 0.0) -> None:
         """Hits a `share` of the calls, or the `nth` alone, by an errno or SHORTENED; `delay`: seconds."""
         calls, hits = self.counts(call)
-        rule = RULE.pack(fault, round(share * 1e6), nth, round(delay * 1e6), calls, hits)
-        self._control[self._at(call) : self._at(call) + RULE.size] = rule
+        rule = RULE_STRUCT.pack(fault, round(share * 1e6), nth, round(delay * 1e6), calls, hits)
+        self._control[self._rule_offset(call) : self._rule_offset(call) + RULE_STRUCT.size] = rule
 
-    def mend(self, call: Call) -> None:
+    def clear(self, call: Call) -> None:
         self.fail(call, 0)
 
     def counts(self, call: Call) -> tuple[int, int]:
         """Calls made, and those that were hit."""
-        *_, calls, hits = RULE.unpack_from(self._control, self._at(call))
+        *_, calls, hits = RULE_STRUCT.unpack_from(self._control, self._rule_offset(call))
         return calls, hits
 
     def step_wall_clock(self, seconds: float) -> None:
         """Sets the wall clock that far off the true one."""
-        WALL_OFFSET.pack_into(self._control, 0, round(seconds * NANOSECONDS))
+        WALL_OFFSET_STRUCT.pack_into(self._control, 0, round(seconds * NANOSECONDS))
 
     def close(self) -> None:
         self._control.close()
         self._file.close()
 
     @staticmethod
-    def _at(call: Call) -> int:
-        return WALL_OFFSET.size + call * RULE.size
+    def _rule_offset(call: Call) -> int:
+        return WALL_OFFSET_STRUCT.size + call * RULE_STRUCT.size
--- a/tests/soak/test_checker.py
+++ b/tests/soak/test_checker.py
@@ -8,7 +8,7 @@
 import pytest
 
 from soak.checker import Checker, ServerStart
-from soak.deployment import Effect, RequestClass, draw
+from soak.deployment import Effect, RequestClass, draw_deployment
 from soak.discovery import Change
 from soak.records import Attempt, Request
 
@@ -33,9 +33,9 @@
 
 
 def found(made: Request, changes: tuple[Change, ...] = (), starts: tuple[ServerStart, ...] = ()) -> list[str]:
-    told = draw(Random(1), 2, 3, 400)
+    told = draw_deployment(Random(1), 2, 3, 400)
     checker = Checker(told, {"a": 0, "b": 0, "c": 1}, {"a": 0, "b": 1, "c": 2}, 0.0)
-    return [v.rule for v in checker.judge([made], list(changes), [], list(starts), {0: [0.0]})]
+    return [v.rule for v in checker.check([made], list(changes), [], list(starts), {0: [0.0]})]
 
 
 @pytest.mark.parametrize(
@@ -44,14 +44,14 @@
         (request(), []),
         (request(answers=[], closed_at=SENT + 0.01), ["lost"]),
         (request(answers=[]), ["lost"]),
-        (request(answers=[], excused=True), []),
+        (request(answers=[], exempt=True), []),
         (request(answers=[(SENT + 2.4, b"ERR")]), []),
         (request(answers=[(SENT + 2.6, b"ERR")]), ["lost"]),
         (request(answers=[(SENT, b"BUSY"), (SENT, b"UP r")]), ["second answer"]),
         (request(left_at=SENT, attempts=[attempt("a", SENT + 0.09)]), []),
         (request(left_at=SENT, attempts=[attempt("a", SENT + 0.11)]), ["attempt after leaving"]),
         (request(attempts=[attempt("a", SENT), attempt("b", SENT + 0.3)]), []),
-        (request(attempts=[attempt("a", SENT, may_overlap=True)]), ["two attempts out"]),
+        (request(attempts=[attempt("a", SENT, overlaps_earlier=True)]), ["two attempts out"]),
         (request(Effect.UNSAFE, attempts=[attempt("a", SENT), attempt("b", SENT + 0.3)]), [DUPLICATE]),
         (
             request(Effect.UNSAFE, attempts=[attempt("a", SENT, never_ran=True), attempt("b", SENT + 0.3)]),
@@ -72,7 +72,7 @@
 
 
 def test_a_request_sent_to_a_draining_server_is_seen_after_the_grace_alone() -> None:
-    grace = draw(Random(1), 2, 3, 400).drain_grace
+    grace = draw_deployment(Random(1), 2, 3, 400).drain_grace
     told = Change(2, "a", "draining", SENT - 1.0, {0: SENT - 1.0})
     early = request(attempts=[attempt("a", SENT - 1.0 + grace)])
     late = request(attempts=[attempt("a", SENT - 0.9 + grace)])
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -5,22 +5,22 @@
 import pytest
 import uvloop
 
-from soak.world import World, clean
+from soak.world import World, remove_folder
 
 SECONDS, BALANCERS, SERVERS = 6.0, 6, 8
 
 
 @pytest.mark.parametrize("seed", [3, 8])
 def test_promises_are_kept_under_overlapping_disturbances(seed: int) -> None:
-    outcome = uvloop.run(World(seed, SECONDS, BALANCERS, SERVERS).play())
-    assert not outcome.late, f"the run was {outcome.figures['lag']} s late itself"
-    assert outcome.kept, "\n".join(str(violation) for violation in outcome.violations[:20])
+    outcome = uvloop.run(World(seed, SECONDS, BALANCERS, SERVERS).run())
+    assert not outcome.loop_late, f"the run was {outcome.figures['lag']} s late itself"
+    assert outcome.passed, "\n".join(str(violation) for violation in outcome.violations[:20])
     assert outcome.figures["attempts"] > 100
-    clean(outcome)
+    remove_folder(outcome)
 
 
 def test_a_fleet_wider_than_the_descriptors_is_served() -> None:
-    outcome = uvloop.run(World(71, 3.0, 2, 200, ("burst",), descriptors=128).play())
-    assert outcome.kept, "\n".join(str(violation) for violation in outcome.violations[:20])
+    outcome = uvloop.run(World(71, 3.0, 2, 200, ("burst",), descriptors=128).run())
+    assert outcome.passed, "\n".join(str(violation) for violation in outcome.violations[:20])
     assert outcome.figures["answers"]["UP"] > 0.9 * outcome.figures["requests"]
-    clean(outcome)
+    remove_folder(outcome)
