--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,4 +1,4 @@
-"""Soak test: real balancer processes under overlapping disturbances, judged by the rules that they promise.
+"""Soak test: real balancer processes under overlapping disturbances, checked for invariant violations.
 
-`python -m soak --seeds 1:9` from `tests/` plays seeds; `test_soak.py` plays one short one in CI.
+`python -m soak --seeds 1:9` from `tests/` runs several seeds; `test_soak.py` runs short ones in CI.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays soak runs: `python -m soak --seeds 1:9` from `tests/`. Exit 1: a promise was not kept."""
+"""Runs soak tests: `python -m soak --seeds 1:9` from `tests/`. Exit status 1: an invariant was violated."""
 
 from __future__ import annotations
 
@@ -12,27 +12,29 @@
 
 
 def run_seed(seed: int, options: argparse.Namespace, only: tuple[str, ...]) -> Outcome:
-    async def one() -> Outcome:
+    """Runs one seed in an event loop of its own."""
+
+    async def run_world() -> Outcome:
         world = World(seed, options.seconds, options.balancers, options.servers, only, options.descriptors)
         return await world.run()
 
-    return uvloop.run(one())
+    return uvloop.run(run_world())
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", default="1:2", help="FIRST:END, the end not played")
+    parser.add_argument("--seeds", default="1:2", help="FIRST:END, without END")
     parser.add_argument("--seconds", type=float, default=15.0)
     parser.add_argument("--balancers", type=int, default=12)
     parser.add_argument("--servers", type=int, default=12)
     parser.add_argument(
-        "--descriptors", type=int, default=DEFAULT_DESCRIPTORS, help="that each balancer may hold"
+        "--descriptors", type=int, default=DEFAULT_DESCRIPTORS, help="descriptor limit of each balancer"
     )
     parser.add_argument(
-        "--only", default="", help="disturbances, by name: " + ", ".join(disturbances.DISTURBANCES)
+        "--only", default="", help="names of disturbances: " + ", ".join(disturbances.DISTURBANCES)
     )
     parser.add_argument(
-        "--keep", action="store_true", help="keep the folder with the logs also where all held"
+        "--keep", action="store_true", help="keep the folder with the logs even if no invariant was violated"
     )
     options = parser.parse_args()
     first, _, end = options.seeds.partition(":")
@@ -40,7 +42,7 @@
     failed = 0
     for seed in range(int(first), int(end)):
         outcome = run_seed(seed, options, only)
-        verdict = "late" if outcome.loop_late else "kept" if outcome.passed else "BROKEN"
+        verdict = "late" if outcome.loop_late else "passed" if outcome.passed else "FAILED"
         print(f"seed {seed}: {verdict} {outcome.figures}", flush=True)
         failed += not outcome.passed
         if not outcome.passed:
--- a/tests/soak/balancer.py
+++ b/tests/soak/balancer.py
@@ -1,4 +1,4 @@
-"""A balancer of a soak run as a process: its files, its starts and its signals."""
+"""A balancer process of a soak run: its files, starts and signals."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from soak.syscall_faults import SyscallFaults
 
 ROOT = Path(__file__).parents[2]
-READY_TIMEOUT = 10.0  # seconds
-PORT = 8443  # that all listen on, each at an address of its own: no outgoing connection can have it
+READY_TIMEOUT = 10.0  # seconds; slower restarts count as late, and as failed after three times that
+PORT = 8443  # of all balancers, each at its own address; below the range of outgoing ports
 
 
 class BalancerProcess:
-    """One balancer under its name and address over all its starts."""
+    """One balancer, with the same name and address over all its starts."""
 
     def __init__(self, number: int, host: str, folder: Path, seed: int, descriptors: int) -> None:
         self.number, self.host, self.folder, self.descriptors = number, host, folder, descriptors
@@ -39,19 +39,20 @@
         self.ready_times: list[float] = []
         self.unexpected_ends: list[str] = []
         self.discovery_port = 0
-        self.killed_at: dict[int, float] = {}  # by start: when it was ended by force
+        self.killed_at: dict[int, float] = {}  # by start count: when it was sent SIGKILL
 
     def write_config(self, config: dict[str, Any]) -> None:
-        """Replaces the file in one step."""
+        """Replaces the start-up file atomically."""
         new_path = self.config_path.with_suffix(".new")
         new_path.write_text(json.dumps(config))
         new_path.rename(self.config_path)
 
     def enable_snapshots(self) -> None:
-        """From its next start on it keeps one, in a folder of its own that outlives it."""
+        """Stores snapshots from the next start on, in a folder that persists over restarts."""
         self.operator_path.write_text(f'[state]\nfolder = "{self.folder / self.name}-state"\n')
 
     def start(self) -> None:
+        """Starts the process with the current files and the descriptor limit."""
         self.start_count += 1
         self.ready, self.stopping_at, self.started_at = False, None, time.monotonic()
         if self.log is None:
@@ -67,7 +68,7 @@
         )  # fmt: skip
 
     async def wait_until_ready(self) -> bool:
-        """Asks with PING as the front does; False where it is not ready in time."""
+        """Sends PING as the front does; False if the process ends, restarts or is not ready in time."""
         starts, deadline = self.start_count, self.started_at + 3 * READY_TIMEOUT
         while time.monotonic() < deadline and self.start_count == starts and self.is_alive():
             if await self._answers_ping():
@@ -98,17 +99,19 @@
             self.process.send_signal(number)
 
     def terminate(self) -> None:
+        """Sends SIGTERM, for a graceful stop."""
         self.stopping_at = time.monotonic()
         self.send_signal(signal.SIGTERM)
 
     def kill(self) -> None:
+        """Sends SIGKILL."""
         self.ready, self.stopping_at = False, time.monotonic()
-        if self.is_alive():  # else it ended by itself, and what it left unanswered is lost
+        if self.is_alive():  # a process that ended by itself has to have answered its requests
             self.killed_at[self.start_count] = time.monotonic()
         self.send_signal(signal.SIGKILL)
 
     async def wait_until_ended(self, timeout: float) -> bool:
-        """Whether the process ends in time."""
+        """Waits for the end of the process; False after `timeout` seconds."""
         deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
             if not self.is_alive():
--- a/tests/soak/checker.py
+++ b/tests/soak/checker.py
@@ -1,4 +1,4 @@
-"""Judges what a soak run recorded by the rules that the balancers promise."""
+"""Checks the records of a soak run for violations of the balancers' invariants."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from soak.discovery import Change
 from soak.records import Attempt, Request, Violation
 
-ANSWER_GRACE = 0.5  # seconds after its time in which an answer is late, not lost
-SOCKET_SLACK = 0.05  # seconds that each time limit is longer on sockets
-LEAVING_GRACE = 0.1  # seconds after its client left in which an attempt may still begin
-MAX_LIST_DELAY = 6.0  # seconds after which what a discovery in reach has counts as told
-SMALL_BUDGET = 30.0  # requests under which the slack for chance is larger
+ANSWER_GRACE = 0.5  # seconds; an answer later than that after its deadline counts as lost
+SOCKET_SLACK = 0.05  # seconds added to each time limit for delays of sockets
+LEAVING_GRACE = 0.1  # seconds after its client left in which an attempt may still start
+MAX_LIST_DELAY = 6.0  # seconds after which a change counts as known while discovery is reachable
+SMALL_BUDGET = 30.0  # requests below which the statistical slack is larger
 
 
 @dataclass(frozen=True, slots=True)
 class ServerStart:
-    """A server that started cold."""
+    """One cold start of a server."""
 
     server: str
     started_at: float
 
 
 class Checker:
-    """`lag`: seconds that the run's own loop was late at most; what it read is older by up to that."""
+    """Checks one run. `loop_lag`: largest delay of the run's event loop; records are late by up to that."""
 
     def __init__(
         self, deployment: Deployment, zones: dict[str, int], cells: dict[str, int], loop_lag: float
@@ -41,6 +41,7 @@
         self, requests: list[Request], changes: list[Change], unreachable_spans: list[tuple[float, float]],
         server_starts: list[ServerStart], balancer_starts: dict[int, list[float]],
     ) -> list[Violation]:  # fmt: skip
+        """All violations in the records. `balancer_starts`: times by balancer number."""
         for request in requests:
             self._check_final_answer(request)
             self._check_repeats(request)
@@ -79,14 +80,14 @@
         for attempt in request.attempts:
             if attempt.overlaps_earlier:
                 self._add_violation("two attempts out", request.name, f"at {attempt.server}")
-            may_have_run = [one for one in earlier if not one.never_ran]
+            may_have_run = [previous for previous in earlier if not previous.never_ran]
             if may_have_run and request_class.effect is Effect.UNSAFE:
                 self._add_violation("duplicate", request.name, f"unsafe, sent again to {attempt.server}")
             if may_have_run and request_class.effect is Effect.KEYED:
                 self._check_keyed_repeat(request, may_have_run[0], attempt)
             earlier.append(attempt)
         if request.answers and request.answers[0][1].startswith(b"BUSY"):
-            ran = any(not one.never_ran for one in request.attempts)
+            ran = any(not attempt.never_ran for attempt in request.attempts)
             refusable = request_class.effect is Effect.SAFE or (
                 request_class.effect is Effect.KEYED and request_class.group == "all"
             )
@@ -139,7 +140,7 @@
         self, changes: list[Change], attempt: Attempt, request: Request,
         unreachable_spans: list[tuple[float, float]], balancer_starts: dict[int, list[float]],
     ) -> str | None:  # fmt: skip
-        """What of a drain the sender had to know when it sent; None: nothing."""
+        """The server's status, if the balancer had to know longer than the grace time that it was not up."""
         started_at = max(
             (at for at in balancer_starts.get(request.balancer, []) if at <= attempt.first_byte_at),
             default=-inf,
@@ -162,10 +163,11 @@
         delay = attempt.first_byte_at - latest[0]
         limit = self.deployment.drain_grace + SOCKET_SLACK + self.loop_lag
         self.worst["sent_after_drain"] = max(self.worst["sent_after_drain"], delay)
-        return f"{latest[1]}, sent {delay:.3f} s after it was told" if delay > limit else None
+        return f"{latest[1]}, sent {delay:.3f} s after it was known" if delay > limit else None
 
     @staticmethod
     def _latest_known_at(changed_at: float, unreachable_spans: list[tuple[float, float]]) -> float:
+        """When a change counts as known even if discovery has not sent it yet."""
         known_at = changed_at + MAX_LIST_DELAY
         for begin, end in unreachable_spans:
             if begin < known_at and end > changed_at:
@@ -173,8 +175,11 @@
         return known_at
 
     def _agent_known_at(self, changed_at: float, unreachable_spans: list[tuple[float, float]]) -> float:
-        """Where lists are pushed, what the agent has counts as told at once; it learns nothing while down.
-        There is one clock for silence: what a call misses that fell silent counts as told 6 s later."""
+        """When the agent pushes a change to its balancer: at once, or when it is reachable again.
+
+        The balancer detects silence by a single timer: a change made in a silent span, or up to
+        `MAX_LIST_DELAY` after it, counts as known `MAX_LIST_DELAY` after the end of the span.
+        """
         ends_of_silence = [
             end + MAX_LIST_DELAY
             for begin, end in self.silent_spans
--- a/tests/soak/client.py
+++ b/tests/soak/client.py
@@ -1,4 +1,4 @@
-"""The stand-in clients of a soak run: well-behaved ones, whose answers are judged, and bad ones."""
+"""Stand-in clients of a soak run: well-behaved ones, whose answers are checked, and misbehaving ones."""
 
 from __future__ import annotations
 
@@ -9,11 +9,15 @@
 
 from soak.records import Request
 
-LINE_INTERVAL = 0.4  # seconds between two lines on an open connection
+LINE_INTERVAL = 0.4  # seconds between two lines on an open tunnel
 
 
 class Client(asyncio.Protocol):
-    """One well-behaved client: its request, its answer, then lines until its life is over."""
+    """One well-behaved client: sends its request, and lines while its tunnel is open.
+
+    `tunnel_seconds`: time until it closes an opened tunnel. `leave_after`: seconds until it cancels an
+    unanswered request. `send_delay`: seconds from connecting to sending.
+    """
 
     def __init__(
         self, request: Request, line: bytes, tunnel_seconds: float, leave_after: float | None,
@@ -40,7 +44,7 @@
     def _send(self) -> None:
         if self.finished or self.transport.is_closing():
             return
-        if self.request.answers:  # it was answered as it rested
+        if self.request.answers:  # answered before it was sent
             return
         if self.in_pieces:
             half = len(self.line) // 2
@@ -59,7 +63,7 @@
             self.loop.call_later(self.leave_after, self.leave)
 
     def leave(self) -> None:
-        """Gives up before its time."""
+        """Cancels the request, unless its tunnel is open."""
         if not self.finished and not self.opened:
             self.finished = self.closed_by_client = True
             self.request.left_at = time.monotonic()
@@ -104,7 +108,7 @@
 
 
 class BadClient(asyncio.Protocol):
-    """Sends what can't be used, or part of it, and notes when it was answered or closed."""
+    """Sends an invalid or incomplete request, and records when it was answered or closed."""
 
     def __init__(self, data: bytes, leave_after: float | None) -> None:
         self.data, self.leave_after = data, leave_after
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -1,4 +1,4 @@
-"""What a soak run's balancers are told: request classes, limits and rules, drawn from the run's seed."""
+"""Settings of the balancers in a soak run: request classes, limits and rules, drawn from the seed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Effect(Enum):
-    """What a repeated request does, by the settings' word."""
+    """Effect of repeating a request. The values are the settings' words."""
 
     SAFE = "pure"
     KEYED = "token"
@@ -21,11 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """Times in seconds."""
+    """A profile of the settings. Times in seconds."""
 
     name: str
     effect: Effect
-    group: str  # of servers that know a keyed repeat: all, zone, cell
+    group: str  # servers that recognise a repeated key: all, zone, cell
     dedup_window: float
     attempt_timeout: float
     deadline: float
@@ -38,7 +38,7 @@
     balancers: int
     servers: int
     classes: tuple[RequestClass, ...]
-    membership_mode: str  # how the list is had: asked for, or pushed
+    membership_mode: str  # subscribe: requested from discovery; automatic: pushed by an agent
     may_cancel: bool
     probes: bool
     max_attempts: int
@@ -49,20 +49,20 @@
     warm_up: float
     overload_factor: float
     overload_window: float
-    connections_per_server: int  # that fill a warm server
+    connections_per_server: int  # capacity of a warm server
     arrival_rate: float  # requests a second, over all balancers
     descriptors: int
-    snapshots: bool  # each balancer keeps one on disk
+    snapshots: bool  # each balancer stores one on disk
 
     def settings(self, number: int) -> dict[str, Any]:
         """The object `settings` of the start-up file."""
         profiles = [
             {
-                "name": one.name, "semantics": one.effect.value, "group": one.group,
-                "dedupWindow": one.dedup_window * 1e3, "setupGoal": one.attempt_timeout * 1e3,
-                "clientTimeout": one.deadline * 1e3, "credit": 1.0,
+                "name": entry.name, "semantics": entry.effect.value, "group": entry.group,
+                "dedupWindow": entry.dedup_window * 1e3, "setupGoal": entry.attempt_timeout * 1e3,
+                "clientTimeout": entry.deadline * 1e3, "credit": 1.0,
             }
-            for one in self.classes
+            for entry in self.classes
         ]  # fmt: skip
         limits = {
             "maxSetups": self.max_attempts, "probes": self.probes, "mayCancel": self.may_cancel,
@@ -83,7 +83,7 @@
 
 
 def draw_deployment(rng: Random, balancers: int, servers: int, descriptors: int) -> Deployment:
-    """A deployment within what the protocol page describes."""
+    """Draws a deployment within the limits of the protocol page."""
     time_scale = rng.choice((0.6, 1.0, 1.6))
     classes = (
         RequestClass("view", Effect.SAFE, "all", 0.0, 0.3 * time_scale, 1.8 * time_scale),
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -1,4 +1,4 @@
-"""The stand-in discovery of a soak run: the list over HTTP/1.1, with faults that can be switched on."""
+"""Stand-in discovery service of a soak run: the list over HTTP/1.1, with switchable faults."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 from typing import Any, cast
 from urllib.parse import parse_qs, urlsplit
 
-MAX_HOLD = 60.0
+MAX_HOLD = 60.0  # seconds that a watch is held at most
 
 
 class Behaviour(Enum):
-    """How calls are answered."""
+    """How requests are answered."""
 
     NORMAL = "sound"
-    DOWN = "down"  # refuses connections, and has broken those it had
-    SILENT = "silent"  # takes calls and says nothing
-    BUSY = "busy"  # 503
-    SLOW = "slow"  # answers late
-    RESETS = "resets"  # breaks each call
+    DOWN = "down"  # aborts all connections, new ones too
+    SILENT = "silent"  # accepts requests without answering
+    BUSY = "busy"  # answers 503
+    SLOW = "slow"  # answers after a delay
+    RESETS = "resets"  # aborts the connection of each request
 
 
 SILENT_BEHAVIOURS = (Behaviour.SILENT, Behaviour.SLOW)
 
 
 class ResponseForm(Enum):
-    """How an answer is written."""
+    """How a response is framed and formatted."""
 
     PLAIN = "plain"
     CHUNKED = "chunked"
     INDENTED = "indented"
     PIECES = "pieces"
-    UNTIL_CLOSE = "until close"  # no length: the end of the connection ends the body
+    UNTIL_CLOSE = "until close"  # without length: the end of the connection ends the body
 
 
 @dataclass(slots=True)
 class Change:
-    """One change of the list, and when each balancer was told."""
+    """One change of the list, and when it was sent to each balancer."""
 
     version: int
     server: str
@@ -56,7 +56,7 @@
     def __init__(self, service: Discovery, balancer: int) -> None:
         self.service, self.balancer = service, balancer
         self.buffer = b""
-        self.waiting_version: int | None = None  # a watch that is held, by the version it has
+        self.waiting_version: int | None = None  # version that a held watch has; None: no watch is held
         self.hold_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -105,7 +105,7 @@
             self.send_list(self.waiting_version)
 
     def send_list(self, version: int | None) -> None:
-        """The whole list, or what is newer than `version`."""
+        """Sends the whole list, or the entries changed after `version`."""
         if self.transport.is_closing():
             return
         self.waiting_version = None
@@ -155,7 +155,7 @@
 
 
 class Discovery:
-    """The list, and the addresses it can be asked at."""
+    """The server list, and the listeners that serve it."""
 
     def __init__(self, rng: Random, balancers: int, agent_pushes: bool) -> None:
         self.rng, self.balancers, self.agent_pushes = rng, balancers, agent_pushes
@@ -169,11 +169,11 @@
         self.changes: list[Change] = []
         self.connections: dict[DiscoveryConnection, None] = {}
         self.request_count = 0
-        self.unreachable_spans: list[tuple[float, float]] = []  # spans in which it could not be reached
-        self.silent_spans: list[tuple[float, float]] = []  # spans in which calls fell silent or came late
+        self.unreachable_spans: list[tuple[float, float]] = []  # spans without access
+        self.silent_spans: list[tuple[float, float]] = []  # spans in which answers were withheld or late
 
     async def listen(self, host: str, port: int) -> list[int]:
-        """Two addresses a balancer, so that a new configuration can move it; gives the ports."""
+        """Listens on two ports for each balancer, so that a reload can switch ports; returns all ports."""
         self.ports: list[tuple[int, int]] = []
         self.servers: list[asyncio.Server] = []
         for balancer in range(self.balancers):
@@ -188,7 +188,7 @@
         return [port for pair in self.ports for port in pair]
 
     def set_behaviour(self, behaviour: Behaviour) -> None:
-        """Switches; what is held ends as the new behaviour says."""
+        """Switches the behaviour; held watches are aborted or answered as it requires."""
         now = time.monotonic()
         previous, self.behaviour = self.behaviour, behaviour
         answering = (Behaviour.NORMAL, Behaviour.SLOW)
@@ -207,11 +207,11 @@
             self._answer_watches()
 
     def _is_reachable(self, behaviour: Behaviour) -> bool:
-        """An agent that pushes the list is never slow: then it counts as silent."""
+        """Whether balancers can get the list. A slow agent that pushes the list counts as silent."""
         return behaviour is Behaviour.NORMAL or (behaviour is Behaviour.SLOW and not self.agent_pushes)
 
     def change_entry(self, name: str, now: float, **fields: Any) -> None:
-        """Sets fields of a server's line and tells those who watch."""
+        """Sets fields of a server's entry and answers the watches."""
         self.version += 1
         self.entries[name] = self.entries.get(name, {}) | fields | {"name": name}
         self.changed_in_version[name] = self.version
@@ -225,12 +225,13 @@
                 call.send_list(call.waiting_version)
 
     def record_notified(self, balancer: int, version: int | None) -> None:
+        """Records that the changes after `version` were sent to a balancer."""
         now = time.monotonic()
         for change in self.changes:
             if version is None or change.version > version:
                 change.notified_at.setdefault(balancer, now)
 
     def start_up_list(self) -> dict[str, Any]:
-        """The list as a start-up file holds it."""
+        """The list in the form of the start-up file."""
         entries = [line for line in self.entries.values() if line["status"] == "up"]
         return {"index": self.version, "snapshot": True, "endpoints": entries}
--- a/tests/soak/disturbances.py
+++ b/tests/soak/disturbances.py
@@ -1,4 +1,7 @@
-"""What disturbs a soak run: each begins, lasts and is mended, whatever others do meanwhile."""
+"""Disturbances of a soak run. Each starts, lasts and ends on its own; several overlap.
+
+The function names are the names of the option `--only`, and the order of `DISTURBANCES` determines the draws.
+"""
 
 from __future__ import annotations
 
@@ -27,26 +30,30 @@
 
 
 async def planned_restart(world: World, rng: Random) -> None:
+    """Restarts one balancer gracefully."""
     await world.restart(rng.choice(world.balancers), signal.SIGTERM)
 
 
 async def rolling_restart(world: World, rng: Random) -> None:
+    """Restarts a third of the balancers gracefully, overlapping."""
     for balancer in rng.sample(world.balancers, k=max(2, len(world.balancers) // 3)):
         world.background(world.restart(balancer, signal.SIGTERM))
         await asyncio.sleep(rng.uniform(0.05, 0.5))
 
 
 async def kill(world: World, rng: Random) -> None:
+    """Kills and restarts one balancer."""
     await world.restart(rng.choice(world.balancers), signal.SIGKILL)
 
 
 async def mass_kill(world: World, rng: Random) -> None:
+    """Kills and restarts half of the balancers at the same time."""
     for balancer in rng.sample(world.balancers, k=max(2, len(world.balancers) // 2)):
         world.background(world.restart(balancer, signal.SIGKILL))
 
 
 async def pause(world: World, rng: Random) -> None:
-    """Processes that stand still for a moment, as on a machine that is short of processors."""
+    """Stops three processes for a moment, one after the other, as on a machine short of processors."""
     for balancer in rng.sample(world.balancers, k=3):
         balancer.send_signal(signal.SIGSTOP)
         await asyncio.sleep(rng.uniform(0.02, 0.14))
@@ -54,7 +61,7 @@
 
 
 async def reload(world: World, rng: Random) -> None:
-    """New configurations in a row, each of which moves discovery."""
+    """Reloads configurations, one or three in a row, each of which switches the discovery port."""
     for balancer in rng.sample(world.balancers, k=max(2, len(world.balancers) // 2)):
         for _ in range(rng.choice((1, 1, 3))):
             world.move_discovery(balancer)
@@ -62,52 +69,58 @@
 
 
 async def server_misbehaves(world: World, rng: Random) -> None:
-    behaviour = rng.choice([one for one in server.Behaviour if one is not server.Behaviour.NORMAL])
+    """Gives up to a third of the servers one faulty behaviour."""
+    behaviour = rng.choice([kind for kind in server.Behaviour if kind is not server.Behaviour.NORMAL])
     affected = rng.sample(world.servers, k=rng.randint(1, max(1, len(world.servers) // 3)))
-    for one in affected:
-        one.behaviour = behaviour
+    for stand_in in affected:
+        stand_in.behaviour = behaviour
     await asyncio.sleep(rng.uniform(0.5, 4.0))
-    for one in affected:
-        one.behaviour = server.Behaviour.NORMAL
+    for stand_in in affected:
+        stand_in.behaviour = server.Behaviour.NORMAL
 
 
 async def servers_drain(world: World, rng: Random) -> None:
-    for one in rng.sample(world.servers, k=max(1, len(world.servers) // 4)):
-        world.drain(one)
+    """Drains a quarter of the servers, then sets all draining ones up again."""
+    for stand_in in rng.sample(world.servers, k=max(1, len(world.servers) // 4)):
+        world.drain(stand_in)
         await asyncio.sleep(rng.uniform(0.0, 0.2))
     await asyncio.sleep(rng.uniform(1.0, 4.0))
-    for one in world.servers:
-        if one.draining:
-            world.undrain(one)
+    for stand_in in world.servers:
+        if stand_in.draining:
+            world.undrain(stand_in)
 
 
 async def servers_restart(world: World, rng: Random) -> None:
-    for one in rng.sample(world.servers, k=max(1, len(world.servers) // 4)):
-        world.background(world.restart_server(one, rng.uniform(0.2, 1.5), rng.uniform(0.0, 1.0)))
+    """Crashes and restarts a quarter of the servers."""
+    for stand_in in rng.sample(world.servers, k=max(1, len(world.servers) // 4)):
+        world.background(world.restart_server(stand_in, rng.uniform(0.2, 1.5), rng.uniform(0.0, 1.0)))
 
 
 async def discovery_fails(world: World, rng: Random) -> None:
+    """Gives discovery a faulty behaviour."""
     excluded = (discovery.Behaviour.NORMAL,)
-    world.discovery.set_behaviour(rng.choice([one for one in discovery.Behaviour if one not in excluded]))
+    world.discovery.set_behaviour(rng.choice([kind for kind in discovery.Behaviour if kind not in excluded]))
     await asyncio.sleep(rng.uniform(0.5, 7.0))
     world.discovery.set_behaviour(discovery.Behaviour.NORMAL)
 
 
 async def discovery_forms(world: World, rng: Random) -> None:
+    """Lets discovery frame its responses in two other ways."""
     world.discovery.response_forms = tuple(rng.sample(list(discovery.ResponseForm), k=2))
     await asyncio.sleep(rng.uniform(2.0, 6.0))
     world.discovery.response_forms = (discovery.ResponseForm.PLAIN,)
 
 
 async def odd_entries(world: World, rng: Random) -> None:
-    """Entries of the list whose figures are out of range."""
+    """Changes entries of the list to values that are missing, out of range or of the wrong type."""
     for fields in ({"weight": None}, {"since_ms": -1}, {"weight": -2.0}, {"type": None}, {"group": "x"}):
-        one = rng.choice(world.servers)
-        world.discovery.change_entry(one.name, world.now(), **fields)
+        stand_in = rng.choice(world.servers)
+        world.discovery.change_entry(stand_in.name, world.now(), **fields)
         await asyncio.sleep(0.1)
 
 
 async def burst(world: World, rng: Random) -> None:
+    """Multiplies the request rate by 2 to 5."""
     usual_rate = world.deployment.arrival_rate
     world.arrival_rate = usual_rate * rng.uniform(2.0, 5.0)
     await asyncio.sleep(rng.uniform(0.5, 2.0))
@@ -115,6 +128,7 @@
 
 
 async def idle_crowd(world: World, rng: Random) -> None:
+    """Opens 50 to 200 connections to one balancer that send nothing."""
     balancer = rng.choice(world.balancers)
     for _ in range(rng.randint(50, 200)):
         world.start_bad_client(balancer, b"", rng.uniform(2.0, 6.0))
@@ -122,19 +136,24 @@
 
 
 async def bad_clients(world: World, rng: Random) -> None:
+    """Connects clients that send invalid or incomplete requests."""
     for _ in range(rng.randint(10, 60)):
         world.start_bad_client(rng.choice(world.balancers), *world.draw_bad_data(rng))
         await asyncio.sleep(rng.uniform(0.0, 0.05))
 
 
 async def clients_leave(world: World, rng: Random) -> None:
+    """Lets most clients cancel their requests early."""
     usual_share, world.leaving_share = world.leaving_share, 0.6
     await asyncio.sleep(rng.uniform(0.5, 3.0))
     world.leaving_share = usual_share
 
 
 async def system_calls_fail(world: World, rng: Random) -> None:
-    """For a moment, at some balancers, all calls of a kind or some. Interruptions are never all of them."""
+    """Fails a share of the calls of a kind at some balancers for a moment.
+
+    Reads, short transfers and interruptions are limited to a share of 0.2.
+    """
     call, faults = rng.choice(SOCKET_FAULTS)
     fault, share, seconds = rng.choice(faults), rng.choice((0.02, 0.2, 1.0)), rng.choice((0.02, 0.1, 0.3))
     if fault in (errno.EINTR, SHORTENED) or call is Call.READ:
@@ -149,7 +168,7 @@
 
 
 async def disk_fails(world: World, rng: Random) -> None:
-    """Where a snapshot is kept: a step of its write fails, or hangs, for a while."""
+    """Fails or delays a step of writing snapshots at half of the balancers for a while."""
     call = rng.choice((Call.OPEN, Call.FSYNC, Call.RENAME))
     fault, delay = rng.choice(((errno.EIO, 0.0), (errno.ENOSPC, 0.0), (0, 3.0)))
     affected = rng.sample(world.balancers, k=max(1, len(world.balancers) // 2))
@@ -161,14 +180,14 @@
 
 
 async def wall_clock_steps(world: World, rng: Random) -> None:
-    """For good: nobody sets it back."""
+    """Steps the wall clock of half of the balancers permanently."""
     for balancer in rng.sample(world.balancers, k=max(1, len(world.balancers) // 2)):
         balancer.faults.step_wall_clock(rng.choice((-3600.0, -5.0, 5.0, 3600.0)))
 
 
 DISTURBANCES: dict[str, Disturbance] = {
-    one.__name__: one
-    for one in (
+    function.__name__: function
+    for function in (
         planned_restart, rolling_restart, kill, mass_kill, pause, reload, server_misbehaves, servers_drain,
         servers_restart, discovery_fails, discovery_forms, odd_entries, burst, idle_crowd, bad_clients,
         clients_leave, system_calls_fail, disk_fails, wall_clock_steps,
--- a/tests/soak/exhaustive.py
+++ b/tests/soak/exhaustive.py
@@ -1,9 +1,9 @@
-"""One fixed day, played again for each system call that it makes, with just that call failing.
+"""Repeats one fixed scenario for each system call that it makes, with only that call failing.
 
-`python -m soak.exhaustive` from `tests/`. The day: a start, a watch, ten requests, a drain, a reload, a
-snapshot, a stop; once for each effect of requests. Its calls are counted first; then it is played for each
-call and each error that the call documents. Exit 1: a request was lost or ran twice, or the process did not
-end in order.
+`python -m soak.exhaustive` from `tests/`. The scenario: a start, a watch, ten requests, a drain, a reload, a
+snapshot, a stop; for each effect of requests. A first run counts the calls; then one run follows for each
+call and each error that is documented for it. Exit status 1: a request was lost or ran twice, or the process
+did not end with status 0 in time.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 EFFECTS = ("pure", "token", "side_effect")
 REQUESTS = 10
-STOP_TIMEOUT = 4.0  # seconds
+STOP_TIMEOUT = 4.0  # seconds from SIGTERM
 ERRORS: dict[Call, tuple[int, ...]] = {
     Call.ACCEPT: (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.EINTR, errno.EPROTO),
     Call.SOCKET: (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
@@ -42,11 +42,11 @@
 
 @dataclass(slots=True)
 class Run:
-    """What became of one play."""
+    """One run: the failing call and the results."""
 
-    effect: str
+    effect: str  # a value of `semantics` in the settings
     call: Call | None = None
-    fault: int = 0
+    fault: int = 0  # errno or SHORTENED
     nth: int = 0
     answers: list[bytes] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
@@ -60,7 +60,7 @@
 
 
 def run_with_fault(effect: str, call: Call | None = None, fault: int = 0, nth: int = 0) -> Run:
-    """Plays the day; the `nth` call of a kind fails."""
+    """Runs the scenario; the `nth` call of a kind fails."""
     run = Run(effect, call, fault, nth)
     folder = Path(mkdtemp(prefix="pointgw-day-"))
     operator_path = folder / "operator.toml"
@@ -79,7 +79,7 @@
 
 
 def _set_fault(daemon: Daemon, run: Run) -> None:
-    """Before the process starts, as its own start makes calls too."""
+    """Sets the fault before the process starts, because the start makes calls too."""
     if run.call is not None:
         daemon.faults.fail(run.call, run.fault, nth=run.nth)
 
@@ -92,7 +92,7 @@
     later = range(REQUESTS // 2, REQUESTS)
     requests += [asyncio.create_task(daemon.request(f"r{number}")) for number in later]
     run.answers = list(await asyncio.gather(*requests))
-    await asyncio.sleep(0.9)  # a snapshot of the drain is written
+    await asyncio.sleep(0.9)  # time to write a snapshot of the drain
     daemon.process.send_signal(signal.SIGTERM)
     if not await daemon.ended(STOP_TIMEOUT):
         run.violations.append("did not end")
@@ -117,7 +117,7 @@
 
 
 def cases(baselines: dict[str, Run], every: int) -> Iterator[tuple[str, Call, int, int]]:
-    """Each call of each day with each error; `every`: of the calls each so-and-so-many-th."""
+    """Each call of each baseline with each error; `every`: only each `every`-th call."""
     for effect, run in baselines.items():
         for call, errors in ERRORS.items():
             for fault in errors:
@@ -128,7 +128,7 @@
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--at-once", type=int, default=6)
-    parser.add_argument("--every", type=int, default=1, help="of the calls of a kind, each so-and-so-many-th")
+    parser.add_argument("--every", type=int, default=1, help="fail only each EVERY-th call of a kind")
     parser.add_argument("--effects", default=",".join(EFFECTS))
     options = parser.parse_args()
     baselines = {effect: run_with_fault(effect) for effect in options.effects.split(",")}
@@ -151,7 +151,7 @@
                 print(run, flush=True)
             if number % 100 == 0:
                 print(f"{number} of {len(futures)}", flush=True)
-    print(f"{len(futures)} plays, calls hit {dict(hit)}, {len(failed)} broken")
+    print(f"{len(futures)} runs, calls hit {dict(hit)}, {len(failed)} failed")
     return 1 if failed else 0
 
 
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -1,4 +1,4 @@
-"""What a soak run saw of its requests, attempts and list changes, on one monotonic clock (seconds)."""
+"""Records of requests, attempts and violations in a soak run. Times in seconds of the monotonic clock."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One request line that a server has read."""
+    """One OPEN line that a server has read."""
 
     request: str
     server: str
     balancer: int
-    first_byte_at: float  # its first byte was read
-    read_at: float  # its last byte was read
-    never_ran: bool = False  # the server turned it away unexamined
-    overlaps_earlier: bool = False  # seen at once with an earlier one that was still out
+    first_byte_at: float  # when its first byte was read
+    read_at: float  # when its last byte was read
+    never_ran: bool = False  # the server declined it without processing
+    overlaps_earlier: bool = False  # an earlier attempt of the request was still pending
     answered_at: float | None = None
-    ended_at: float | None = None  # its connection ended, or its sender ended sending on it
+    ended_at: float | None = None  # when its connection, or the sending side of it, was closed
 
 
 @dataclass(slots=True)
@@ -29,19 +29,19 @@
     name: str
     request_class: RequestClass
     balancer: int
-    process_start: int  # the start of that balancer, counted
-    sent_at: float  # its last byte was handed to the system
-    timeout: float
-    left_at: float | None = None  # its client gave up
+    process_start: int  # start count of that balancer
+    sent_at: float  # when its last byte was passed to the system; 0: not sent
+    timeout: float  # seconds that the client states in its request
+    left_at: float | None = None  # when its client cancelled
     answers: list[tuple[float, bytes]] = field(default_factory=list)
-    closed_at: float | None = None  # by the balancer
-    exempt: bool = False  # the balancer was killed, or stopped by force, under it
+    closed_at: float | None = None  # when the balancer closed the connection
+    exempt: bool = False  # the balancer was sent SIGKILL before the request was finished
     attempts: list[Attempt] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Violation:
-    """A promise that was not kept."""
+    """One violation of an invariant."""
 
     rule: str
     request: str
--- a/tests/soak/server.py
+++ b/tests/soak/server.py
@@ -1,4 +1,4 @@
-"""The stand-in servers of a soak run: they read requests, note them, and answer well or badly."""
+"""Stand-in servers of a soak run: they record requests and answer them correctly or with a fault."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 from soak.records import Attempt
 
-PORT = 7000  # that all listen on, each at an address of its own
+PORT = 7000  # of all servers, each at its own address
 NO_LINGER = struct.pack("ii", 1, 0)
 
 
 class Behaviour(Enum):
-    """What a server does with a request."""
+    """How a server answers a request."""
 
     NORMAL = "sound"
     HANGS = "hangs"
@@ -111,6 +111,7 @@
                 server.loop.call_later(server.rng.uniform(0.001, 0.03), self.open_tunnel)
 
     def open_tunnel(self) -> None:
+        """Answers UP, unless the connection is closing or the server hangs."""
         if self.transport.is_closing() or self.attempt is None or self.server.behaviour is Behaviour.HANGS:
             return
         self.tunnel_open = True
@@ -129,13 +130,14 @@
             self.transport.write(line + b"\r\n")
 
     def reset(self) -> None:
+        """Closes the connection with RST."""
         sock = self.transport.get_extra_info("socket")
         if sock is not None and not self.transport.is_closing():
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         self.transport.abort()
 
     def sender_has_closed(self) -> bool:
-        """Whether its sender gave it up, also where this loop has not read that yet."""
+        """Whether the balancer has closed its side, even if this loop has not read the end yet."""
         sock = self.transport.get_extra_info("socket")
         if sock is None or self.transport.is_closing():
             return True
@@ -157,7 +159,7 @@
 
 
 class Server:
-    """One stand-in server. `noted`: called with each connection as its request has been read."""
+    """One stand-in server. `on_request`: called with the connection of each request that was read."""
 
     def __init__(
         self, name: str, rng: Random, connection_limit: int, on_request: Callable[[Connection], None],
@@ -169,7 +171,7 @@
         self.behaviour = Behaviour.NORMAL
         self.draining = False
         self.start_count = 1
-        self.started_at = 0.0  # monotonic; 0: long ago
+        self.started_at = 0.0  # monotonic clock; 0: before the run
         self.connections: dict[Connection, None] = {}
         self.open_tunnels: dict[Connection, None] = {}
         self.probes = 0
@@ -177,14 +179,16 @@
         self.listener: asyncio.Server | None = None
 
     def capacity(self) -> float:
+        """Open tunnels that are full load."""
         return float(self.connection_limit)
 
     async def start(self, host: str) -> None:
+        """Listens at an address."""
         self.host = host
         self.listener = await self.loop.create_server(lambda: Connection(self), host, self.port, backlog=512)
 
     def crash(self) -> None:
-        """The process is gone: its connections break, new ones are refused."""
+        """Simulates a crash: resets all connections and refuses new ones."""
         if self.listener is not None:
             self.listener.close()
             self.listener = None
@@ -192,6 +196,7 @@
             connection.reset()
 
     async def restart(self) -> None:
+        """Listens again after a crash, with normal behaviour."""
         self.behaviour, self.draining = Behaviour.NORMAL, False
         self.start_count += 1
         self.started_at = time.monotonic()
--- a/tests/soak/syscall_faults.c
+++ b/tests/soak/syscall_faults.c
@@ -21,12 +21,12 @@
 #define SHORTENED (-1) /* in place of an errno: one byte is read or written */
 
 struct rule {
-    int32_t fault;        /* errno, SHORTENED, or 0: a hit only delays the call */
-    uint32_t per_million; /* of the calls, chosen by a seeded generator */
-    uint32_t nth;         /* or just the n-th call; 0: chance decides */
-    uint32_t delay_us;    /* each call that is hit takes this much longer */
-    uint32_t calls;       /* counted here */
-    uint32_t hits;
+    int32_t fault;        /* errno, SHORTENED, or 0: the call is only delayed */
+    uint32_t per_million; /* probability of a fault, by a seeded generator */
+    uint32_t nth;         /* the only call that fails; 0: by probability */
+    uint32_t delay_us;    /* delay of each call that is hit */
+    uint32_t calls;       /* calls made so far */
+    uint32_t hits;        /* calls that were failed, shortened or delayed */
 };
 
 struct control {
@@ -50,7 +50,7 @@
     if (state == 0) state = 1;
 }
 
-/* The fault of this call; 0: none. */
+/* Counts the call and returns its fault, after the delay; 0: none. */
 static int fault_of(enum call call) {
     if (control == NULL) return 0;
     struct rule *rule = &control->rule[call];
@@ -74,8 +74,8 @@
     return fstat(fd, &about) == 0 && S_ISSOCK(about.st_mode);
 }
 
-/* Sockets that this process has connected. A read that fails means that the connection is dead; on one that was
- * accepted its client could not be answered, so nothing would be left to judge. */
+/* Descriptors of outgoing connections. A failing read means a dead connection; reads of accepted connections do not
+ * fail, because their clients could not be answered and there would be nothing to check. */
 static unsigned char dialled[1 << 16];
 
 static int is_dialled(int fd) {
@@ -138,8 +138,8 @@
     return real(fd, data, size);
 }
 
-/* Whether a write to it can fail so: a file runs out of room, a socket does not; the loop's own wake-ups do neither.
- * Standard error is the log and stays whole. */
+/* Whether the current WRITE fault applies to this descriptor: ENOSPC and EIO only to files, others to files and
+ * sockets, none to the event loop's wake-up descriptors. Standard error is exempt, because it is the log. */
 static int can_fail(int fd) {
     struct stat about;
     if (fd <= 2 || fstat(fd, &about) != 0) return 0;
@@ -189,7 +189,7 @@
     return real(from_folder, from, to_folder, to);
 }
 
-/* Its plain name, which programs with 64-bit file offsets do not call, is left alone. */
+/* Plain openat is not intercepted: programs with 64-bit file offsets do not call it. */
 int openat64(int folder, const char *path, int flags, ...) {
     static int (*real)(int, const char *, int, ...);
     if (real == NULL) real = dlsym(RTLD_NEXT, "openat64");
--- a/tests/soak/syscall_faults.py
+++ b/tests/soak/syscall_faults.py
@@ -1,7 +1,7 @@
-"""System calls of a balancer process that fail on demand, and its wall clock, by a preloaded library.
+"""Injects system call failures and wall clock steps into a process by a preloaded library.
 
-The library (`syscall_faults.c`) is built with the system's compiler. A `SyscallFaults` is one process's
-control file: rules set in it hold from the next call on.
+The library (`syscall_faults.c`) is built with the system's compiler. A `SyscallFaults` is the control file of
+one process: its rules apply from the next call on.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Call(IntEnum):
-    """A system call, by its place in the control file."""
+    """A system call; the value is the index of its rule in the control file."""
 
     ACCEPT = 0
     SOCKET = 1
@@ -40,7 +40,7 @@
 
 @cache
 def build_library() -> Path:
-    """The built library. Raises CalledProcessError where the compiler fails."""
+    """Builds the library once per process. Raises CalledProcessError if the compiler fails."""
     built = Path(gettempdir()) / f"pointgw-syscall-faults-{os.getpid()}.so"
     command = ["cc", "-O2", "-shared", "-fPIC", "-Wall", "-o", str(built), str(SOURCE), "-ldl"]
     subprocess.run(command, check=True)
@@ -57,7 +57,7 @@
         self._control = mmap.mmap(self._file.fileno(), CONTROL_BYTES)
 
     def environment(self) -> dict[str, str]:
-        """What the process has to be started with."""
+        """Environment variables that the process has to be started with."""
         return {
             "LD_PRELOAD": str(build_library()),
             "SYSCALL_FAULTS_CONTROL": str(self.path),
@@ -65,21 +65,22 @@
         }
 
     def fail(self, call: Call, fault: int, share: float = 1.0, nth: int = 0, delay: float = 0.0) -> None:
-        """Hits a `share` of the calls, or the `nth` alone, by an errno or SHORTENED; `delay`: seconds."""
+        """Applies a fault to a `share` of the calls, or to the `nth` alone: errno or SHORTENED, delay (s)."""
         calls, hits = self.counts(call)
         rule = RULE_STRUCT.pack(fault, round(share * 1e6), nth, round(delay * 1e6), calls, hits)
         self._control[self._rule_offset(call) : self._rule_offset(call) + RULE_STRUCT.size] = rule
 
     def clear(self, call: Call) -> None:
+        """Ends the fault of a call."""
         self.fail(call, 0)
 
     def counts(self, call: Call) -> tuple[int, int]:
-        """Calls made, and those that were hit."""
+        """Number of calls made, and of those that a fault was applied to."""
         *_, calls, hits = RULE_STRUCT.unpack_from(self._control, self._rule_offset(call))
         return calls, hits
 
     def step_wall_clock(self, seconds: float) -> None:
-        """Sets the wall clock that far off the true one."""
+        """Sets the offset of the process's wall clock from the true one."""
         WALL_OFFSET_STRUCT.pack_into(self._control, 0, round(seconds * NANOSECONDS))
 
     def close(self) -> None:
--- a/tests/soak/test_checker.py
+++ b/tests/soak/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker sees each broken promise, on records made by hand."""
+"""The checker reports each kind of violation, on hand-made records."""
 
 from __future__ import annotations
 
@@ -21,25 +21,27 @@
 
 
 def request(effect: Effect = Effect.SAFE, group: str = "all", **fields: Any) -> Request:
-    made = Request("r", kind(effect, group), 0, 1, SENT, 2.0)
-    made.answers.append((SENT + 0.1, b"UP r"))
+    record = Request("r", kind(effect, group), 0, 1, SENT, 2.0)
+    record.answers.append((SENT + 0.1, b"UP r"))
     for name, value in fields.items():
-        setattr(made, name, value)
-    return made
+        setattr(record, name, value)
+    return record
 
 
 def attempt(server: str, at: float, **fields: Any) -> Attempt:
     return Attempt("r", server, 0, at, at, **fields)
 
 
-def found(made: Request, changes: tuple[Change, ...] = (), starts: tuple[ServerStart, ...] = ()) -> list[str]:
-    told = draw_deployment(Random(1), 2, 3, 400)
-    checker = Checker(told, {"a": 0, "b": 0, "c": 1}, {"a": 0, "b": 1, "c": 2}, 0.0)
-    return [v.rule for v in checker.check([made], list(changes), [], list(starts), {0: [0.0]})]
+def found(
+    record: Request, changes: tuple[Change, ...] = (), starts: tuple[ServerStart, ...] = ()
+) -> list[str]:
+    deployment = draw_deployment(Random(1), 2, 3, 400)
+    checker = Checker(deployment, {"a": 0, "b": 0, "c": 1}, {"a": 0, "b": 1, "c": 2}, 0.0)
+    return [v.rule for v in checker.check([record], list(changes), [], list(starts), {0: [0.0]})]
 
 
 @pytest.mark.parametrize(
-    ("made", "rules"),
+    ("record", "rules"),
     [
         (request(), []),
         (request(answers=[], closed_at=SENT + 0.01), ["lost"]),
@@ -67,22 +69,22 @@
         ),
     ],
 )  # fmt: skip
-def test_each_broken_promise_of_a_request_is_seen(made: Request, rules: list[str]) -> None:
-    assert found(made) == rules
+def test_each_violation_by_a_request_is_reported(record: Request, rules: list[str]) -> None:
+    assert found(record) == rules
 
 
-def test_a_request_sent_to_a_draining_server_is_seen_after_the_grace_alone() -> None:
+def test_a_request_to_a_draining_server_is_reported_only_after_the_grace_time() -> None:
     grace = draw_deployment(Random(1), 2, 3, 400).drain_grace
-    told = Change(2, "a", "draining", SENT - 1.0, {0: SENT - 1.0})
+    sent_change = Change(2, "a", "draining", SENT - 1.0, {0: SENT - 1.0})
     early = request(attempts=[attempt("a", SENT - 1.0 + grace)])
     late = request(attempts=[attempt("a", SENT - 0.9 + grace)])
-    assert found(early, (told,)) == [] and found(late, (told,)) == ["drain"]
-    untold = Change(2, "a", "draining", SENT - 5.0)  # it counts as told six seconds after it was made
-    assert found(request(attempts=[attempt("a", SENT + 0.9)]), (untold,)) == []
-    assert found(request(attempts=[attempt("a", SENT + 1.1 + grace)]), (untold,)) == ["drain"]
+    assert found(early, (sent_change,)) == [] and found(late, (sent_change,)) == ["drain"]
+    unsent_change = Change(2, "a", "draining", SENT - 5.0)  # it counts as known six seconds after it was made
+    assert found(request(attempts=[attempt("a", SENT + 0.9)]), (unsent_change,)) == []
+    assert found(request(attempts=[attempt("a", SENT + 1.1 + grace)]), (unsent_change,)) == ["drain"]
 
 
-def test_too_much_for_a_server_that_has_just_started_is_seen() -> None:
+def test_overload_of_a_server_in_slow_start_is_reported() -> None:
     many = [attempt("a", SENT + 0.01 * n) for n in range(60)]
     assert "slow start" in found(request(attempts=many), starts=(ServerStart("a", SENT),))
     assert "slow start" not in found(request(attempts=many[:5]), starts=(ServerStart("a", SENT),))
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak run in CI; `python -m soak` plays longer ones on other seeds."""
+"""Short soak runs in CI; `python -m soak` runs longer ones with other seeds."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 @pytest.mark.parametrize("seed", [3, 8])
-def test_promises_are_kept_under_overlapping_disturbances(seed: int) -> None:
+def test_no_violations_under_overlapping_disturbances(seed: int) -> None:
     outcome = uvloop.run(World(seed, SECONDS, BALANCERS, SERVERS).run())
-    assert not outcome.loop_late, f"the run was {outcome.figures['lag']} s late itself"
+    assert not outcome.loop_late, f"the event loop of the run was {outcome.figures['lag']} s late"
     assert outcome.passed, "\n".join(str(violation) for violation in outcome.violations[:20])
     assert outcome.figures["attempts"] > 100
     remove_folder(outcome)
 
 
-def test_a_fleet_wider_than_the_descriptors_is_served() -> None:
+def test_more_servers_than_descriptors_are_served() -> None:
     outcome = uvloop.run(World(71, 3.0, 2, 200, ("burst",), descriptors=128).run())
     assert outcome.passed, "\n".join(str(violation) for violation in outcome.violations[:20])
     assert outcome.figures["answers"]["UP"] > 0.9 * outcome.figures["requests"]
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""One soak run: balancer processes among stand-ins, disturbed by a seeded schedule."""
+"""One soak run: balancer processes with stand-in peers, under a seeded schedule of disturbances."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 from soak.syscall_faults import Call
 
 HOST = "127.0.0.1"
-DEFAULT_DESCRIPTORS = 400  # that each balancer may hold
-LAG_CHECK_INTERVAL = 0.01  # seconds between two looks at how late this loop is
-FRONT_REMOVAL_DELAY = 0.3  # seconds after SIGTERM in which clients are still sent there
-STOP_GRACE = 0.7  # seconds after the longest deadline that a stop may take
-BAD_CLIENT_TIMEOUT = 3.0  # seconds within which a bad client has an error or a close
-QUIET_SECONDS = 4.0  # seconds without disturbance at the end, and for the last answers
-MAX_LOOP_LAG = 0.25  # seconds that this loop may be late before the run does not count
-VALID_LINE_END = b",g=g1\r\n"  # of a line that can be served, from a client that leaves at once
+DEFAULT_DESCRIPTORS = 400  # descriptor limit of each balancer
+LAG_CHECK_INTERVAL = 0.01  # seconds between two measurements of the event loop lag
+FRONT_REMOVAL_DELAY = 0.3  # seconds after SIGTERM in which the front still sends clients to a balancer
+STOP_GRACE = 0.7  # seconds that a stop may take longer than the longest deadline
+BAD_CLIENT_TIMEOUT = 3.0  # seconds within which a bad client gets an error or a close
+QUIET_SECONDS = 4.0  # seconds without new disturbances at the end of the run
+MAX_LOOP_LAG = 0.25  # seconds; a run with more event loop lag is not valid
+VALID_LINE_END = b",g=g1\r\n"  # end of a valid request; bad clients that send one leave at once
 VIOLATION_LOG_LINE = re.compile(
     rb'event=(broken|fault|"closed without answer")|(guard_\w+|\w+_failed|answer_overdue)=[1-9]'
 )
@@ -42,14 +42,14 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What a run found."""
+    """Result of a run."""
 
     seed: int
     violations: list[Violation] = field(default_factory=list)
     figures: dict[str, Any] = field(default_factory=dict)
     schedule: list[str] = field(default_factory=list)
     folder: Path | None = None
-    loop_late: bool = False  # the run's own loop was too late to judge by
+    loop_late: bool = False  # the event loop lag exceeded `MAX_LOOP_LAG`; the result is not valid
 
     @property
     def passed(self) -> bool:
@@ -57,7 +57,7 @@
 
 
 class World:
-    """`only`: names of the disturbances to draw from; none: all."""
+    """One run. `disturbance_names`: names of the disturbances to draw from; empty: all."""
 
     def __init__(
         self, seed: int, seconds: float, balancers: int, servers: int,
@@ -84,14 +84,15 @@
         return time.monotonic()
 
     def background(self, work: Coroutine[Any, Any, None]) -> None:
+        """Runs a coroutine as a task that ends with the run at the latest."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    # Setting up.
+    # Set-up.
 
     async def run(self) -> Outcome:
-        """Plays the run and judges it."""
+        """Runs the test and checks its records."""
         self.loop = asyncio.get_running_loop()
         await self._set_up()
         try:
@@ -103,7 +104,7 @@
             await self._start_disturbances()
             await asyncio.sleep(QUIET_SECONDS)
             load.cancel()
-            await asyncio.sleep(max(one.deadline for one in self.deployment.classes) + 0.8)
+            await asyncio.sleep(max(entry.deadline for entry in self.deployment.classes) + 0.8)
             lag_meter.cancel()
             return self._check()
         finally:
@@ -153,7 +154,7 @@
 
     @staticmethod
     def _host(net: int, number: int) -> str:
-        """An address that no other run beside this one uses."""
+        """A loopback address that concurrent runs do not use."""
         return f"127.{net + number // 250}.{os.getpid() % 250}.{number % 250 + 1}"
 
     def _configure(self, balancer: BalancerProcess) -> None:
@@ -217,7 +218,7 @@
         try:
             await self.loop.create_connection(lambda: client, balancer.host, PORT)
         except OSError:
-            return  # refused: it never was the balancer's
+            return  # refused: the balancer is not responsible for the request
         self.clients[client] = None
 
     def _client_ended(self, client: Client) -> None:
@@ -225,16 +226,21 @@
         request = client.request
         if not client.opened or client.moved or client.closed_by_client:
             return
-        answered_attempts = [one for one in request.attempts if one.answered_at is not None]
+        answered_attempts = [attempt for attempt in request.attempts if attempt.answered_at is not None]
         server_ended = answered_attempts and answered_attempts[-1].ended_at is not None
         if not server_ended:
             self.background(self._check_cut(client))
 
     async def _check_cut(self, client: Client) -> None:
-        """The server's end may be read a moment later than the client's."""
+        """Reports an open tunnel that the balancer closed while its server did not.
+
+        The end of the server's connection may be read later than that of the client's.
+        """
         request, ended_at = client.request, self.now()
         await asyncio.sleep(0.2)
-        last = next((one for one in reversed(request.attempts) if one.answered_at is not None), None)
+        last = next(
+            (attempt for attempt in reversed(request.attempts) if attempt.answered_at is not None), None
+        )
         balancer = self.balancers[request.balancer]
         killed = request.process_start in balancer.killed_at
         if last is None or killed:
@@ -245,7 +251,7 @@
             )
 
     def _request_read(self, connection: Connection) -> None:
-        """A server has read a request."""
+        """Records an attempt, and whether earlier attempts of its request are still pending."""
         attempt = connection.attempt
         assert attempt is not None
         request = self.requests.get(attempt.request)
@@ -277,7 +283,7 @@
         self.bad_clients.append(client)
 
     def draw_bad_data(self, rng: Random) -> tuple[bytes, float | None]:
-        """What a bad client sends, and when it leaves, if it does."""
+        """The data that a bad client sends, and after how many seconds it leaves; None: it stays."""
         valid_line = b"OPEN bad-%d k c=view,t=acme,d=900%s" % (rng.randrange(10**9), VALID_LINE_END)
         return rng.choice(
             (
@@ -289,7 +295,7 @@
             )
         )  # fmt: skip
 
-    # What disturbances do.
+    # Actions of disturbances.
 
     async def _start_disturbances(self) -> None:
         names = self.disturbance_names or tuple(disturbances.DISTURBANCES)
@@ -304,15 +310,15 @@
         await disturbances.DISTURBANCES[name](self, rng)
 
     async def restart(self, balancer: BalancerProcess, signal_number: signal.Signals) -> None:
-        """Ends a balancer and starts it again, as the platform does."""
+        """Stops a balancer and starts it again, as the platform does; SIGKILL follows a late stop."""
         if balancer.stopping_at is not None or not balancer.ready:
             return
         self.add_to_schedule(balancer, signal_number.name)
         if signal_number is signal.SIGTERM:
             balancer.terminate()
-            max_deadline = min(3.0, max(one.deadline for one in self.deployment.classes))
+            max_deadline = min(3.0, max(entry.deadline for entry in self.deployment.classes))
             if not await balancer.wait_until_ended(max_deadline + STOP_GRACE):
-                self.violations.append(Violation("stop", balancer.name, "still there when it is killed"))
+                self.violations.append(Violation("stop", balancer.name, "still running at SIGKILL"))
         balancer.kill()
         await balancer.wait_until_ended(2.0)
         self.add_to_schedule(balancer, "ended")
@@ -327,6 +333,7 @@
         self.schedule.append(f"{self.now() - self.started_at:.2f} {balancer.name} {event}")
 
     def move_discovery(self, balancer: BalancerProcess) -> None:
+        """Switches the balancer to its other discovery port by a reload."""
         if balancer.stopping_at is not None or not balancer.ready:
             return
         first, second = self.discovery.ports[balancer.number]
@@ -336,14 +343,17 @@
         balancer.send_signal(signal.SIGHUP)
 
     def drain(self, server: Server) -> None:
+        """Drains a server in the list."""
         server.draining = True
         self.discovery.change_entry(server.name, self.now(), status="draining")
 
     def undrain(self, server: Server) -> None:
+        """Sets a draining server up again."""
         server.draining = False
         self.discovery.change_entry(server.name, self.now(), status="up")
 
     async def restart_server(self, server: Server, down: float, listed_after: float) -> None:
+        """Crashes a server; restarts it after `down` s, and updates the list `listed_after` s later."""
         if server.listener is None:
             return
         server.crash()
@@ -354,7 +364,7 @@
         since = round((time.time() - (self.now() - server.started_at)) * 1e3)
         self.discovery.change_entry(server.name, self.now(), status="up", since_ms=since)
 
-    # Judging.
+    # Checks.
 
     def _check(self) -> Outcome:
         outcome = Outcome(self.seed, schedule=self.schedule, folder=self.folder)
@@ -403,7 +413,7 @@
             if not client.left and took > BAD_CLIENT_TIMEOUT + self.loop_lag:
                 found.append(Violation("bad client", repr(client.data[:30]), f"no answer for {took:.2f} s"))
             if client.answer.startswith(b"UP ") and not client.data.endswith(VALID_LINE_END):
-                found.append(Violation("bad client", repr(client.data[-30:]), "was served"))
+                found.append(Violation("bad client", repr(client.data[-30:]), "served although invalid"))
         return found
 
     def _check_processes(self) -> list[Violation]:
@@ -423,5 +433,6 @@
 
 
 def remove_folder(outcome: Outcome) -> None:
+    """Removes the run's folder with the logs."""
     if outcome.folder is not None:
         shutil.rmtree(outcome.folder, ignore_errors=True)
