--- a/benchmarks/tier_size.py
+++ b/benchmarks/cluster_size.py
@@ -1,6 +1,6 @@
 """What the tier's talk costs and how soon all agree, by its size: the modules on a virtual clock.
 
-    python benchmarks/tier_size.py [--sizes 3,40,200,1000] [--zones 10] [--loss 0,0.3]
+    python benchmarks/cluster_size.py [--sizes 3,40,200,1000] [--zones 10] [--loss 0,0.3]
 
 Simulated: datagrams take 2 to 10 ms, nothing else costs time. All start at once; after a while a zone loses
 its servers and its balancers. Told for each size: bytes and datagrams a second of the one that sends most,
--- a/benchmarks/filling_size.py
+++ b/benchmarks/lease_scaling.py
@@ -1,6 +1,6 @@
 """What loans of cold room give, and whether they push a cold server over, by the size of the tier.
 
-    python benchmarks/filling_size.py [--sizes 3:4,40:12,200:30] [--seeds 20]
+    python benchmarks/lease_scaling.py [--sizes 3:4,40:12,200:30] [--seeds 20]
 
 Simulated: the real decisions and loans on a virtual clock (`tests/filling_world.py`), servers cold at first.
 "few": tunnels come at one balancer in twelve, for four seconds; placed with loans and without. "all at once":
--- a/benchmarks/filling.py
+++ b/benchmarks/recovery.py
@@ -1,6 +1,6 @@
 """A fleet fills again after a loss of all power, with `[recovery]` and without it: service by credit.
 
-    python benchmarks/filling.py [--seeds 3]
+    python benchmarks/recovery.py [--seeds 3]
 
 Plays `power-loss` of the library (6 x 24) with and without, two at a time, the same seeds: a row for each
 seed, then credit by second. "first" and "second": when the higher and the lower credit were first served to
--- a/benchmarks/blind.py
+++ b/benchmarks/restart_without_discovery.py
@@ -2,8 +2,8 @@
 those, and what share is served in the first ten seconds. With a memory, without one, and without one but with
 discovery up.
 
-    python benchmarks/blind.py [--seeds 20] [--beside 5] [--plot docs/design/blind.png]
-    python benchmarks/blind.py --ages [--seeds 5]
+    python benchmarks/restart_without_discovery.py [--seeds 20] [--beside 5] [--plot docs/design/blind.png]
+    python benchmarks/restart_without_discovery.py --ages [--seeds 5]
 
 4 balancers x 12 servers, the scenario `starting-blind`. Runs go `--beside` at a time. `--ages`: a third of
 the servers is gone when the balancers come back, and the memory was made ten seconds, an hour, a day and a
--- a/benchmarks/cold_untold.py
+++ b/benchmarks/unreported_cold_servers.py
@@ -1,6 +1,6 @@
 """Cold servers that nobody told of: the days on which servers start again while discovery is silent.
 
-    python benchmarks/cold_untold.py [--seeds 10] [--beside 3] [--only NAME ...] [--plot FILE]
+    python benchmarks/unreported_cold_servers.py [--seeds 10] [--beside 3] [--only NAME ...] [--plot FILE]
 
 Plays `power-loss` and `three-at-once` of the library, seeds 1 to N. A row for each day: service, its
 lowest seed, what fell, how long after the last start credit is over 0.9 for good, and the rules. The plot is
