--- a/benchmarks/lease_scaling.py
+++ b/benchmarks/lease_scaling.py
@@ -1,13 +1,13 @@
-"""What loans of cold room give, and whether they push a cold server over, by the size of the tier.
+"""Measures the gain of leases of slow-start budget, and whether they overload cold servers, by cluster size.
 
     python benchmarks/lease_scaling.py [--sizes 3:4,40:12,200:30] [--seeds 20]
 
-Simulated: the real decisions and loans on a virtual clock (`tests/filling_world.py`), servers cold at first.
-"few": tunnels come at one balancer in twelve, for four seconds; placed with loans and without. "all at once":
-after three seconds of that five tunnels come at each balancer; the most that any server got within a tip
-span, of what it could take then with two standard deviations of chance, over all seeds; a third of the words
-lost, the others up to 1.5 s late. "liar": the same, where one balancer lends to all that may borrow of it and
-spends all the same.
+Simulation: the real decisions and leases on a virtual clock (`tests/filling_world.py`), all servers cold at
+first. "few": for four seconds tunnels arrive at one balancer in twelve; tunnels placed without leases and
+with them. "all at once": after three seconds of that, five tunnels arrive at each balancer; the most that any
+server got within an overload window, as a share of its budget plus two standard deviations, over all seeds; a
+third of the messages is lost, the others are up to 1.5 s late. "false lessor": the same, with one balancer
+that grants every lease and still uses its whole budget.
 """
 
 from __future__ import annotations
@@ -23,22 +23,23 @@
 from pointgw.recovery.leases import Leases
 
 
-class Liar(Leases):
-    """Says yes to all that may borrow of it, and goes without nothing."""
+class FalseLessor(Leases):
+    """Grants every lease, and still uses its whole budget."""
 
-    def receive_request(self, borrower: int, now: float) -> bool:
+    def receive_request(self, lessee: int, now: float) -> bool:
         return True
 
     def budget_share(self, now: float) -> float:
         return 1.0
 
 
-def crowd(count: int, servers: int, seed: int, liar: bool = False) -> World:
+def run_concurrent_demand(count: int, servers: int, seed: int, false_lessor: bool = False) -> World:
+    """Runs "all at once" and returns the world. `false_lessor`: the last balancer is one."""
     few = max(1, count // 12)
     world = World(count, servers, few, 15.0 * servers / few, seed, loss_rate=0.33, max_delay=1.5)
-    if liar:
+    if false_lessor:
         last = world.leases[-1]
-        world.leases[-1] = Liar(
+        world.leases[-1] = FalseLessor(
             last.own_index, last.balancer_count, last.overload_window, last.rng, last.started_at
         )
     world.run(6.0, 3.0)
@@ -46,24 +47,32 @@
 
 
 def main() -> None:
-    args = argparse.ArgumentParser()
-    args.add_argument("--sizes", default="3:4,40:12,200:30")
-    args.add_argument("--seeds", type=int, default=20)
-    told = args.parse_args()
-    print("| balancers x servers | few: without, with loans | all at once: fullest | liar: fullest | s |")
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--sizes", default="3:4,40:12,200:30")
+    parser.add_argument("--seeds", type=int, default=20)
+    options = parser.parse_args()
+    print("| balancers x servers | few: without, with leases | all at once: most | false lessor: most | s |")
     print("|" + " --- |" * 5)
-    for size in told.sizes.split(","):
+    for size in options.sizes.split(","):
         count, servers = map(int, size.split(":"))
         few, began = max(1, count // 12), time.monotonic()
         placed = []
-        for on in (False, True):
-            world = World(count, servers, few, 5.0 * servers / few, leases_enabled=on)
+        for leases_enabled in (False, True):
+            world = World(count, servers, few, 5.0 * servers / few, leases_enabled=leases_enabled)
             world.run(4.0, 99.0)
             placed.append(world.count_placements())
-        seeds = range(1, told.seeds + 1)
-        fullest = max(crowd(count, servers, seed).max_overload_ratio() for seed in seeds)
-        lied = max(crowd(count, servers, seed, liar=True).max_overload_ratio() for seed in seeds)
-        cells = [f"{count} x {servers}", "{}, {}".format(*placed), f"{fullest:.2f}", f"{lied:.2f}"]
+        seeds = range(1, options.seeds + 1)
+        max_ratio = max(run_concurrent_demand(count, servers, seed).max_overload_ratio() for seed in seeds)
+        with_false_lessor = max(
+            run_concurrent_demand(count, servers, seed, false_lessor=True).max_overload_ratio()
+            for seed in seeds
+        )
+        cells = [
+            f"{count} x {servers}",
+            "{}, {}".format(*placed),
+            f"{max_ratio:.2f}",
+            f"{with_false_lessor:.2f}",
+        ]
         print("| " + " | ".join([*cells, f"{time.monotonic() - began:.0f}"]) + " |", flush=True)
 
 
--- a/benchmarks/restart_without_discovery.py
+++ b/benchmarks/restart_without_discovery.py
@@ -204,7 +204,8 @@
         shares[name] = {run.result.seed: run.first_share for run in runs}
         kept = sum(run.result.kept for run in runs)
         print(
-            f"| {name} | {sum(run.drained_setups for run in runs)} | {spread(list(shares[name].values())).text()} |"
+            f"| {name} | {sum(run.drained_setups for run in runs)} |"
+            f" {spread(list(shares[name].values())).text()} |"
             f" {spread([run.result.service for run in runs]).text()} | kept in {kept} of {len(runs)} |"
         )
         for run in runs:
@@ -215,7 +216,8 @@
         if name != reference:
             compared = compare(shares[reference], shares[name])
             print(
-                f"first 10 s, {name} compared with {reference}: {compared.difference.text()}, {compared.verdict}"
+                f"first 10 s, {name} compared with {reference}: {compared.difference.text()},"
+                f" {compared.verdict}"
             )
     if options.plot is not None:
         draw(found, options.plot)
