--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -23,7 +23,8 @@
 from pointgw.testbed.run import ScenarioRun
 from pointgw.testbed.scenario import read
 
-SCENARIO, LOSS_AT = "power-loss", 10.0
+SCENARIO = "power-loss"
+LOSS_AT = 10.0  # seconds from the start of the scenario to the power loss
 TARGET_SHARES = (0.9, 0.5)  # share of requested credit of the profiles with higher and lower credit
 
 
