--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -7,7 +7,9 @@
 
 from soak.world import World, remove_folder
 
-SECONDS, BALANCERS, SERVERS = 6.0, 6, 8
+SECONDS = 6.0  # in which disturbances start
+BALANCERS = 6
+SERVERS = 8
 
 
 @pytest.mark.parametrize("seed", [3, 8])
