--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -18,7 +18,7 @@
 class Behaviour(Enum):
     """How requests are answered."""
 
-    NORMAL = "sound"
+    NORMAL = "normal"
     DOWN = "down"  # aborts all connections, new ones too
     SILENT = "silent"  # accepts requests without answering
     BUSY = "busy"  # answers 503
--- a/tests/soak/server.py
+++ b/tests/soak/server.py
@@ -21,17 +21,17 @@
 class Behaviour(Enum):
     """How a server answers a request."""
 
-    NORMAL = "sound"
-    HANGS = "hangs"
-    ERRORS = "errors"
+    NORMAL = "normal"
+    HANGS = "hangs"  # sends nothing more, on open tunnels and to probes too
+    ERRORS = "errors"  # ERR
     BUSY = "busy"
-    RESETS = "resets"
-    SLOW = "slow"
-    HALF_LINE = "half a line"
-    GARBLES = "garbles"
-    SECOND_ANSWER = "second answer"
-    CLOSES = "closes"
-    ENDLESS = "endless"
+    RESETS = "resets"  # RST without answer
+    SLOW = "slow"  # UP after a delay
+    HALF_LINE = "half a line"  # an incomplete UP, then RST
+    GARBLES = "garbles"  # random bytes
+    SECOND_ANSWER = "second answer"  # BUSY, then UP
+    CLOSES = "closes"  # without answer
+    ENDLESS = "endless"  # a line that does not end
 
 
 class Connection(asyncio.Protocol):
