--- a/tests/crossing/daemon.py
+++ b/tests/crossing/daemon.py
@@ -15,7 +15,7 @@
 
 import uvloop
 
-from crossing.world import Call, Conn, World, opening
+from crossing.world import Connection, ListRequest, World, open_line
 from soak.syscall_faults import SyscallFaults
 
 PORT = 8443
@@ -31,43 +31,43 @@
         self.host = f"127.79.{os.getpid() % 250}.{number}"
         self.faults = SyscallFaults(folder / f"faults-{number}")
         self.process: subprocess.Popen[bytes]
-        self.served: list[str] = []  # ids of requests that servers took
+        self.served_requests: list[str] = []  # ids of requests that servers took
 
-    def told(self, **changes: Any) -> dict[str, Any]:
+    def start_up_content(self, **changes: Any) -> dict[str, Any]:
         """The start-up file's content."""
-        told: dict[str, Any] = json.loads(self.world.told())
+        told: dict[str, Any] = json.loads(self.world.start_up_file())
         return told | {"listen": f"{self.host}:{PORT}"} | changes
 
     def start(self, environment: dict[str, str], **changes: Any) -> None:
-        self.config.write_text(json.dumps(self.told(**changes)))
+        self.config.write_text(json.dumps(self.start_up_content(**changes)))
         variables = os.environ | self.faults.environment() | {"GW_CONFIG": str(self.config)} | environment
         command = [sys.executable, "-O", "-m", "pointgw"]
         self.process = subprocess.Popen(command, env=variables, stderr=subprocess.PIPE)
 
-    async def connect(self) -> Conn:
-        return Conn(*await asyncio.open_connection(self.host, PORT))
+    async def connect(self) -> Connection:
+        return Connection(*await asyncio.open_connection(self.host, PORT))
 
-    async def request(self, name: str, within: float = 2.0) -> bytes:
+    async def request(self, name: str, timeout: float = 2.0) -> bytes:
         """The first line of the answer; nothing where none came, or there was no connection for it."""
         try:
-            conn = await self.connect()
+            connection = await self.connect()
         except OSError:
             return b""
-        conn.say(opening(name))
+        connection.send(open_line(name))
         try:
-            return await asyncio.wait_for(conn.reader.readline(), within)
+            return await asyncio.wait_for(connection.reader.readline(), timeout)
         except (TimeoutError, OSError):
             return b""
         finally:
-            conn.close()
+            connection.close()
 
-    async def ended(self, within: float) -> bool:
+    async def wait_for_exit(self, timeout: float) -> bool:
         """Whether the process ends in time."""
         with suppress(subprocess.TimeoutExpired):
-            await asyncio.to_thread(self.process.wait, within)
+            await asyncio.to_thread(self.process.wait, timeout)
         return self.process.poll() is not None
 
-    def log(self) -> bytes:
+    def read_log(self) -> bytes:
         """All that it logged; the process has ended."""
         assert self.process.stderr is not None
         return self.process.stderr.read()
@@ -78,32 +78,32 @@
         self.faults.close()
 
 
-async def answer_requests(world: World, served: list[str] | None = None) -> None:
+async def answer_requests(world: World, request_ids: list[str] | None = None) -> None:
     """Servers that take every request, note its id in `served`, and answer probes."""
     async with asyncio.TaskGroup() as group:
-        for peer in world.servers:
-            group.create_task(_take(peer, group, served))
+        for stand_in in world.servers:
+            group.create_task(answer_connections(stand_in, group, request_ids))
 
 
-async def _take(peer: Any, group: asyncio.TaskGroup, served: list[str] | None) -> None:
+async def answer_connections(stand_in: Any, group: asyncio.TaskGroup, request_ids: list[str] | None) -> None:
     while True:
-        group.create_task(_converse(await peer.taken.get(), served))
+        group.create_task(answer_lines(await stand_in.accepted.get(), request_ids))
 
 
-async def _converse(conn: Conn, served: list[str] | None) -> None:
+async def answer_lines(connection: Connection, request_ids: list[str] | None) -> None:
     with suppress(Exception):
-        while line := await conn.reader.readline():
-            if line.startswith(b"OPEN ") and line.endswith(b"\n") and served is not None:
-                served.append(line.split(b" ")[1].decode())
-            conn.say(b"PONG x0=0.1,util=0.1\r\n" if line.startswith(b"STATS") else b"UP r-1\r\n")
+        while line := await connection.reader.readline():
+            if line.startswith(b"OPEN ") and line.endswith(b"\n") and request_ids is not None:
+                request_ids.append(line.split(b" ")[1].decode())
+            connection.send(b"PONG x0=0.1,util=0.1\r\n" if line.startswith(b"STATS") else b"UP r-1\r\n")
 
 
-def beside_daemon(
-    scene: Callable[[Daemon], Awaitable[None]],
+def run_with_daemon(
+    scenario: Callable[[Daemon], Awaitable[None]],
     folder: Path,
     world: World | None = None,
     environment: dict[str, str] | None = None,
-    before: Callable[[Daemon], None] = lambda daemon: None,
+    before_start: Callable[[Daemon], None] = lambda daemon: None,
     **changes: Any,
 ) -> None:
     """Runs `scene` beside a balancer that serves; its list is known, and a watch is open.
@@ -113,16 +113,16 @@
     world = world or World()
 
     async def main() -> None:
-        await world.stand()
+        await world.start()
         daemon = Daemon(world, folder)
-        serving = asyncio.create_task(answer_requests(world, daemon.served))
-        before(daemon)
+        serving = asyncio.create_task(answer_requests(world, daemon.served_requests))
+        before_start(daemon)
         daemon.start(environment or {}, **changes)
         try:
-            world.watch = await _watch(world)
-            while not await _listens(daemon):
+            world.watch = await wait_for_watch(world)
+            while not await is_listening(daemon):
                 await asyncio.sleep(0.01)
-            await scene(daemon)
+            await scenario(daemon)
         finally:
             daemon.close()
             serving.cancel()
@@ -131,19 +131,19 @@
     uvloop.run(main())
 
 
-async def _watch(world: World) -> Call:
+async def wait_for_watch(world: World) -> ListRequest:
     """Answers calls that do not wait, on new connections where one is broken, until a watch comes."""
     while True:
-        call = await world.discovery.call()
-        call.answer(1)
+        request = await world.discovery.next_request()
+        request.send_list(1)
         with suppress(Exception):
-            return await world.discovery.call(call.conn)
+            return await world.discovery.next_request(request.connection)
 
 
-async def _listens(daemon: Daemon) -> bool:
+async def is_listening(daemon: Daemon) -> bool:
     try:
-        conn = await daemon.connect()
+        connection = await daemon.connect()
     except OSError:
         return False
-    conn.close()
+    connection.close()
     return True
--- a/tests/crossing/test_accept.py
+++ b/tests/crossing/test_accept.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from crossing.daemon import Daemon, beside_daemon
+from crossing.daemon import Daemon, run_with_daemon
 from pointgw.net.run.listener import ACCEPT_BATCH
 from soak.syscall_faults import Call
 
@@ -35,7 +35,7 @@
 def test_clients_in_the_backlog_are_served_once_accept_works_again(
     fault: int, once: bool, tmp_path: Path
 ) -> None:
-    async def scene(daemon: Daemon) -> None:
+    async def scenario(daemon: Daemon) -> None:
         waiting = await requests_in_the_backlog(daemon)
         calls, _ = daemon.faults.counts(Call.ACCEPT)
         # A fault of one connection is never for all of them.
@@ -50,7 +50,7 @@
         daemon.faults.clear(Call.ACCEPT)
         assert await asyncio.gather(*waiting) == [b"UP r-1\r\n"] * CLIENTS
 
-    beside_daemon(scene, tmp_path)
+    run_with_daemon(scenario, tmp_path)
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
 def test_clients_in_the_backlog_of_a_stop_are_answered_though_accept_fails(
     fault: int, tmp_path: Path
 ) -> None:
-    async def scene(daemon: Daemon) -> None:
+    async def scenario(daemon: Daemon) -> None:
         waiting = await requests_in_the_backlog(daemon)
         calls, _ = daemon.faults.counts(Call.ACCEPT)
         daemon.faults.fail(Call.ACCEPT, fault, nth=calls + 1)
@@ -67,21 +67,21 @@
         daemon.process.send_signal(signal.SIGCONT)
         answers = await asyncio.gather(*waiting)
         assert all(answer.startswith((b"UP ", b"BUSY")) for answer in answers), answers
-        assert await daemon.ended(4.0) and daemon.process.returncode == 0
+        assert await daemon.wait_for_exit(4.0) and daemon.process.returncode == 0
 
-    beside_daemon(scene, tmp_path)
+    run_with_daemon(scenario, tmp_path)
 
 
 @pytest.mark.parametrize(
     "fault", [errno.ENFILE, errno.ECONNABORTED], ids=lambda fault: errno.errorcode[fault]
 )
 def test_accept_that_fails_for_long_spends_no_processor(fault: int, tmp_path: Path) -> None:
-    async def scene(daemon: Daemon) -> None:
+    async def scenario(daemon: Daemon) -> None:
         daemon.faults.fail(Call.ACCEPT, fault)
-        waits = asyncio.create_task(daemon.request("r1", within=4.0))
+        waits = asyncio.create_task(daemon.request("r1", timeout=4.0))
         await asyncio.sleep(0.5)
         assert daemon.faults.counts(Call.ACCEPT)[1] < 100 * ACCEPT_BATCH
         daemon.faults.clear(Call.ACCEPT)
         assert await waits == b"UP r-1\r\n"
 
-    beside_daemon(scene, tmp_path)
+    run_with_daemon(scenario, tmp_path)
--- a/tests/crossing/test_crowd.py
+++ b/tests/crossing/test_crowd.py
@@ -16,7 +16,7 @@
 import pytest
 import uvloop
 
-from crossing.world import Conn, World, opening
+from crossing.world import Connection, World, open_line
 from pointgw.net.core.reducer import LIST_DEADLINE_SECONDS
 
 ALLOWED = 128  # descriptors of the process
@@ -32,14 +32,14 @@
     return sock
 
 
-async def served(port: int, name: str, within: float) -> bool:
+async def served(port: int, name: str, timeout: float) -> bool:
     """A client that is shut unread comes again, as a crowd may have it."""
-    end = time.monotonic() + within
+    end = time.monotonic() + timeout
     while time.monotonic() < end:
         with suppress(OSError):
-            conn = Conn(*await asyncio.open_connection("127.0.0.1", port))
-            conn.say(opening(name))
-            if await conn.line() == b"UP r-1\r\n":
+            connection = Connection(*await asyncio.open_connection("127.0.0.1", port))
+            connection.send(open_line(name))
+            if await connection.read_line() == b"UP r-1\r\n":
                 return True
         await asyncio.sleep(0.02)
     return False
@@ -57,24 +57,27 @@
     def limited() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (ALLOWED, ALLOWED))
 
-    async def answers(conn: Conn) -> None:
+    async def answers(connection: Connection) -> None:
         with suppress(Exception):
-            while line := await conn.reader.readline():
-                conn.say(b"PONG x0=0.1\r\n" if line.startswith(b"STATS") else b"UP r-1\r\n")
+            while line := await connection.reader.readline():
+                connection.send(b"PONG x0=0.1\r\n" if line.startswith(b"STATS") else b"UP r-1\r\n")
 
     async def serve() -> None:
         async with asyncio.TaskGroup() as group:
-            for peer in world.servers:
+            for stand_in in world.servers:
 
-                async def taking(peer=peer) -> None:  # type: ignore[no-untyped-def]
+                async def taking(stand_in=stand_in) -> None:  # type: ignore[no-untyped-def]
                     while True:
-                        group.create_task(answers(await peer.taken.get()))
+                        group.create_task(answers(await stand_in.accepted.get()))
 
                 group.create_task(taking())
 
     async def main() -> None:
-        await world.stand()
-        told = json.loads(world.told()) | {"listen": f"127.0.0.1:{port}", "limits": {"sockets": ALLOWED}}
+        await world.start()
+        told = json.loads(world.start_up_file()) | {
+            "listen": f"127.0.0.1:{port}",
+            "limits": {"sockets": ALLOWED},
+        }
         config = tmp_path / "config.json"
         config.write_text(json.dumps(told))
         serving = asyncio.create_task(serve())
@@ -84,9 +87,9 @@
         )  # fmt: skip
         crowd: list[socket.socket] = []
         try:
-            call = await world.discovery.call()
-            call.answer(1)
-            await world.discovery.call(call.conn)
+            request = await world.discovery.next_request()
+            request.send_list(1)
+            await world.discovery.next_request(request.connection)
             assert await served(port, "first", 5)
             at = world.discovery.port
             world.discovery.stop()  # down: its connections break, new ones are refused
@@ -95,11 +98,11 @@
                 await asyncio.sleep(0.4)
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= ALLOWED
             assert await served(port, "second", 5)
-            world.discovery.server = await asyncio.start_server(world.discovery._take, "127.0.0.1", at)
+            world.discovery.server = await asyncio.start_server(world.discovery._accept, "127.0.0.1", at)
             back = time.monotonic()
-            call = await world.discovery.call()
+            request = await world.discovery.next_request()
             assert time.monotonic() - back < LIST_DEADLINE_SECONDS
-            call.answer(2)
+            request.send_list(2)
             assert await served(port, "third", 5)
             assert process.poll() is None
         finally:
--- a/tests/crossing/test_own_faults.py
+++ b/tests/crossing/test_own_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from crossing.world import HeldLoop, World, opening, play, until
+from crossing.world import ControlledLoop, World, open_line, run_scenario, wait_until
 from pointgw.net.invariant import violations
 from pointgw.net.run import server as server_module
 from pointgw.net.run.balancer_process import BalancerProcess
@@ -55,57 +55,57 @@
 
 
 def test_a_tick_that_fails_is_followed_by_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
+    async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         monkeypatch.setattr(Balancer, "_run_control_pass", failing(3, Balancer._run_control_pass))
-        rounds = node.reducer.balancer.last_pass_at
-        await until(lambda: node.reducer.balancer.last_pass_at > rounds)
+        rounds = process.reducer.balancer.last_pass_at
+        await wait_until(lambda: process.reducer.balancer.last_pass_at > rounds)
         assert violations["event_failed"] == 3
 
-    play(scene, World())
+    run_scenario(scenario, World())
 
 
 def test_a_stop_whose_step_fails_ends_all_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
-        client, _ = await world.opened()
-        stopping = type(node.reducer)._stop_requested
-        monkeypatch.setattr(type(node.reducer), "_stop_requested", failing(2, stopping))
-        node.stop()
-        assert await client.line() == b"MOVE\r\n"
-        await asyncio.wait_for(asyncio.shield(node.ended), 4.0)
+    async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
+        client, _ = await world.open_tunnel()
+        stopping = type(process.reducer)._stop_requested
+        monkeypatch.setattr(type(process.reducer), "_stop_requested", failing(2, stopping))
+        process.stop()
+        assert await client.read_line() == b"MOVE\r\n"
+        await asyncio.wait_for(asyncio.shield(process.ended), 4.0)
 
-    play(scene, World())
+    run_scenario(scenario, World())
 
 
 def test_a_stop_that_never_ends_by_itself_is_ended_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
-        monkeypatch.setattr(type(node.reducer), "_stop_requested", failing(10**6, None))
-        began = time.monotonic()
-        node.stop()
-        await asyncio.wait_for(asyncio.shield(node.ended), 4.0)
-        assert time.monotonic() - began < node.reducer.stop_time_limit + 0.2
+    async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
+        monkeypatch.setattr(type(process.reducer), "_stop_requested", failing(10**6, None))
+        started_at = time.monotonic()
+        process.stop()
+        await asyncio.wait_for(asyncio.shield(process.ended), 4.0)
+        assert time.monotonic() - started_at < process.reducer.stop_time_limit + 0.2
         assert violations["stop_not_ended"] == 1
 
-    play(scene, World())
+    run_scenario(scenario, World())
 
 
 def test_an_attempt_that_cannot_be_begun_is_followed_by_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
+    async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         begin = server_module.ServerConnection.__init__
         monkeypatch.setattr(server_module.ServerConnection, "__init__", failing(1, begin))
-        await world.opened()
+        await world.open_tunnel()
         assert violations["effect_failed"] == 1
 
-    play(scene, World())
+    run_scenario(scenario, World())
 
 
 def test_a_request_that_the_decisions_forget_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(node: BalancerProcess, world: World, loop: HeldLoop) -> None:
+    async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         monkeypatch.setattr(Balancer, "tunnel_arrived", lambda *args: None)
-        client = await world.client()
-        client.say(opening(patience=300))
-        began = time.monotonic()
-        assert await client.line() == b"ERR\r\n"
-        assert time.monotonic() - began < 0.3 + 0.5
+        client = await world.connect_client()
+        client.send(open_line(timeout_ms=300))
+        started_at = time.monotonic()
+        assert await client.read_line() == b"ERR\r\n"
+        assert time.monotonic() - started_at < 0.3 + 0.5
         assert violations["answer_overdue"] == 1
 
-    play(scene, World())
+    run_scenario(scenario, World())
--- a/tests/crossing/test_start.py
+++ b/tests/crossing/test_start.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from crossing.daemon import PORT, Daemon, beside_daemon
+from crossing.daemon import PORT, Daemon, run_with_daemon
 from crossing.world import Discovery, World
 from pointgw.net.wire.start_up import parse_start_up_file
 from pointgw.site import Malformed
 
 
 def test_an_address_that_is_still_taken_is_waited_for(tmp_path: Path) -> None:
-    async def scene(daemon: Daemon) -> None:
+    async def scenario(daemon: Daemon) -> None:
         other = Daemon(daemon.world, tmp_path)
         with socket.create_server((other.host, PORT)):
             other.start({})
@@ -26,35 +26,35 @@
             assert other.process.poll() is None
         try:
             end = time.monotonic() + 3.0
-            while await other.request("r1", within=0.5) != b"UP r-1\r\n":
+            while await other.request("r1", timeout=0.5) != b"UP r-1\r\n":
                 assert time.monotonic() < end
         finally:
             other.close()
 
-    beside_daemon(scene, tmp_path)
+    run_with_daemon(scenario, tmp_path)
 
 
 def test_a_file_that_is_half_written_as_the_signal_comes_is_read_again(tmp_path: Path) -> None:
-    async def scene(daemon: Daemon) -> None:
+    async def scenario(daemon: Daemon) -> None:
         moved_to = Discovery()
         await moved_to.start()
-        told = json.dumps(daemon.told(discovery=f"127.0.0.1:{moved_to.port}"))
+        told = json.dumps(daemon.start_up_content(discovery=f"127.0.0.1:{moved_to.port}"))
         daemon.config.write_text(told[: len(told) // 2])
         daemon.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.3)
         daemon.config.write_text(told)
-        call = await asyncio.wait_for(moved_to.call(), 2.0)
+        call = await asyncio.wait_for(moved_to.next_request(), 2.0)
         assert b"from=" not in call.head
         moved_to.stop()
 
-    beside_daemon(scene, tmp_path, World())
+    run_with_daemon(scenario, tmp_path, World())
 
 
 @pytest.mark.parametrize("sockets", ["-5", "0", "1e999", '"x"', "null", "[]"])
 def test_limits_out_of_range_are_refused_in_words_or_bounded(sockets: str) -> None:
     world = World(servers=0)
     world.discovery.port = 1
-    told = world.told().decode()[:-1] + f', "limits": {{"sockets": {sockets}}}}}'
+    told = world.start_up_file().decode()[:-1] + f', "limits": {{"sockets": {sockets}}}}}'
     try:
         assert parse_start_up_file(told.encode()).descriptors >= 0
     except Malformed as fault:
--- a/tests/crossing/test_system_calls.py
+++ b/tests/crossing/test_system_calls.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from crossing.daemon import Daemon, beside_daemon
+from crossing.daemon import Daemon, run_with_daemon
 from crossing.world import World
 from soak.syscall_faults import Call
 
@@ -42,7 +42,7 @@
     ids=lambda told: told.name.lower() if isinstance(told, Call) else errno.errorcode[told],
 )
 def test_a_moment_without_connections_ejects_no_server(call: Call, fault: int, tmp_path: Path) -> None:
-    async def scene(daemon: Daemon) -> None:
+    async def scenario(daemon: Daemon) -> None:
         for number in range(20):
             assert await daemon.request(f"before-{number}") == b"UP r-1\r\n"
         daemon.faults.fail(call, fault)
@@ -54,26 +54,26 @@
         answers = await asyncio.gather(*during)
         assert all(answer.startswith((b"UP ", b"BUSY")) for answer in answers), answers
 
-    beside_daemon(scene, tmp_path, World(servers=8, probes=True))
+    run_with_daemon(scenario, tmp_path, World(servers=8, probes=True))
 
 
 def test_a_disk_that_hangs_holds_up_neither_service_nor_the_stop(tmp_path: Path) -> None:
     operator = tmp_path / "operator.toml"
     operator.write_text(f'[state]\nfolder = "{tmp_path}/state"\n')
 
-    async def scene(daemon: Daemon) -> None:
+    async def scenario(daemon: Daemon) -> None:
         daemon.faults.fail(Call.FSYNC, 0, delay=20.0)
         calls, _ = daemon.faults.counts(Call.FSYNC)
-        daemon.world.watch.answer(2, daemon.world.line(0, weight=2.0))
+        daemon.world.watch.send_list(2, daemon.world.list_entry(0, weight=2.0))
         await asyncio.sleep(1.5)
         assert await daemon.request("r1") == b"UP r-1\r\n"
         assert daemon.faults.counts(Call.FSYNC)[0] > calls
-        began = time.monotonic()
+        started_at = time.monotonic()
         daemon.process.send_signal(signal.SIGTERM)
-        assert await daemon.ended(4.0) and time.monotonic() - began < 3.0
+        assert await daemon.wait_for_exit(4.0) and time.monotonic() - started_at < 3.0
         assert daemon.process.returncode == 0
 
-    beside_daemon(scene, tmp_path, environment={"GW_OPERATOR": str(operator)})
+    run_with_daemon(scenario, tmp_path, environment={"GW_OPERATOR": str(operator)})
 
 
 @pytest.mark.parametrize(
@@ -86,9 +86,9 @@
     operator = tmp_path / "operator.toml"
     operator.write_text(f'[state]\nfolder = "{folder}"\n')
 
-    async def scene(daemon: Daemon) -> None:
+    async def scenario(daemon: Daemon) -> None:
         daemon.faults.fail(call, fault)
-        daemon.world.watch.answer(2, daemon.world.line(0, status="draining"))
+        daemon.world.watch.send_list(2, daemon.world.list_entry(0, status="draining"))
         await asyncio.sleep(2.5)
         assert await daemon.request("r1") == b"UP r-1\r\n"
         daemon.faults.clear(call)
@@ -97,10 +97,10 @@
             assert time.monotonic() < end, "the drain was never written"
             await asyncio.sleep(0.1)
         daemon.process.send_signal(signal.SIGTERM)
-        assert await daemon.ended(4.0) and daemon.process.returncode == 0
-        assert daemon.log().count(b"not written") <= 1
+        assert await daemon.wait_for_exit(4.0) and daemon.process.returncode == 0
+        assert daemon.read_log().count(b"not written") <= 1
 
-    beside_daemon(scene, tmp_path, environment={"GW_OPERATOR": str(operator)})
+    run_with_daemon(scenario, tmp_path, environment={"GW_OPERATOR": str(operator)})
 
 
 def states(folder: Path) -> list[Path]:
--- a/tests/soak/exhaustive.py
+++ b/tests/soak/exhaustive.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from tempfile import mkdtemp
 
-from crossing.daemon import Daemon, beside_daemon
+from crossing.daemon import Daemon, run_with_daemon
 from crossing.world import World
 from soak.syscall_faults import SHORTENED, Call
 
@@ -67,7 +67,7 @@
     operator_path.write_text(f'[state]\nfolder = "{folder}/state"\n')
     profile = {"semantics": effect, "dedupWindow": 1000.0}
     try:
-        beside_daemon(
+        run_with_daemon(
             lambda daemon: _scenario(daemon, run), folder, World(servers=4, probes=True, profile=profile),
             {"GW_OPERATOR": str(operator_path)}, lambda daemon: _set_fault(daemon, run),
         )  # fmt: skip
@@ -87,14 +87,14 @@
 async def _scenario(daemon: Daemon, run: Run) -> None:
     requests = [asyncio.create_task(daemon.request(f"r{number}")) for number in range(REQUESTS // 2)]
     await asyncio.sleep(0.1)
-    daemon.world.watch.answer(2, daemon.world.line(3, status="draining"))
+    daemon.world.watch.send_list(2, daemon.world.list_entry(3, status="draining"))
     daemon.process.send_signal(signal.SIGHUP)
     later = range(REQUESTS // 2, REQUESTS)
     requests += [asyncio.create_task(daemon.request(f"r{number}")) for number in later]
     run.answers = list(await asyncio.gather(*requests))
     await asyncio.sleep(0.9)  # time to write a snapshot of the drain
     daemon.process.send_signal(signal.SIGTERM)
-    if not await daemon.ended(STOP_TIMEOUT):
+    if not await daemon.wait_for_exit(STOP_TIMEOUT):
         run.violations.append("did not end")
     elif daemon.process.returncode != 0:
         run.violations.append(f"exit {daemon.process.returncode}")
@@ -108,9 +108,9 @@
         if not answer.startswith((b"UP ", b"BUSY", b"ERR")):
             run.violations.append(f"r{number} had no answer")
     if run.effect == "side_effect":
-        twice = [name for name, count in Counter(daemon.served).items() if count > 1]
+        twice = [name for name, count in Counter(daemon.served_requests).items() if count > 1]
         run.violations.extend(f"{name} ran twice" for name in twice)
-    log = daemon.log()
+    log = daemon.read_log()
     for mark in (b"event=broken", b"event=fault", b"Traceback", b"closed without answer"):
         if mark in log:
             run.violations.append(f"the log has {mark.decode()}")
