--- a/tests/crossing/__init__.py
+++ b/tests/crossing/__init__.py
@@ -1,5 +1,5 @@
-"""Two things that happen at one moment, forced to cross, on real sockets.
+"""Race conditions on real sockets: each test forces two events to happen at the same moment.
 
-A stand-in or a step of the loop is held at a named point and released there; nothing is hoped for by sleep.
-What comes by the clock (a time-out of the balancer's own) is waited for until it is seen.
+A stand-in or a step of the event loop is blocked at a chosen point and released there, so that the order does
+not depend on sleeps. For the balancer's own timeouts a test waits until it sees their effect.
 """
--- a/tests/crossing/daemon.py
+++ b/tests/crossing/daemon.py
@@ -1,4 +1,4 @@
-"""A balancer as a process of its own beside a world of stand-ins, where a test needs its signals or calls."""
+"""A balancer in its own process with stand-ins, for tests of its signals and system calls."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Daemon:
-    """The process, its address, and the system calls that can be made to fail in it."""
+    """One balancer process, its address, and control over which of its system calls fail."""
 
     def __init__(self, world: World, folder: Path) -> None:
         number = next(_numbers)
@@ -31,14 +31,15 @@
         self.host = f"127.79.{os.getpid() % 250}.{number}"
         self.faults = SyscallFaults(folder / f"faults-{number}")
         self.process: subprocess.Popen[bytes]
-        self.served_requests: list[str] = []  # ids of requests that servers took
+        self.served_requests: list[str] = []  # ids of requests that servers received
 
     def start_up_content(self, **changes: Any) -> dict[str, Any]:
-        """The start-up file's content."""
-        told: dict[str, Any] = json.loads(self.world.start_up_file())
-        return told | {"listen": f"{self.host}:{PORT}"} | changes
+        """Content of the start-up file, with top-level keys replaced by `changes`."""
+        content: dict[str, Any] = json.loads(self.world.start_up_file())
+        return content | {"listen": f"{self.host}:{PORT}"} | changes
 
     def start(self, environment: dict[str, str], **changes: Any) -> None:
+        """Writes the start-up file and starts the process."""
         self.config.write_text(json.dumps(self.start_up_content(**changes)))
         variables = os.environ | self.faults.environment() | {"GW_CONFIG": str(self.config)} | environment
         command = [sys.executable, "-O", "-m", "pointgw"]
@@ -47,13 +48,13 @@
     async def connect(self) -> Connection:
         return Connection(*await asyncio.open_connection(self.host, PORT))
 
-    async def request(self, name: str, timeout: float = 2.0) -> bytes:
-        """The first line of the answer; nothing where none came, or there was no connection for it."""
+    async def request(self, request_id: str, timeout: float = 2.0) -> bytes:
+        """Sends a request and returns the first line of the answer; empty if there was none."""
         try:
             connection = await self.connect()
         except OSError:
             return b""
-        connection.send(open_line(name))
+        connection.send(open_line(request_id))
         try:
             return await asyncio.wait_for(connection.reader.readline(), timeout)
         except (TimeoutError, OSError):
@@ -62,24 +63,25 @@
             connection.close()
 
     async def wait_for_exit(self, timeout: float) -> bool:
-        """Whether the process ends in time."""
+        """Whether the process exits within `timeout` seconds."""
         with suppress(subprocess.TimeoutExpired):
             await asyncio.to_thread(self.process.wait, timeout)
         return self.process.poll() is not None
 
     def read_log(self) -> bytes:
-        """All that it logged; the process has ended."""
+        """The whole log; call it after the process has exited."""
         assert self.process.stderr is not None
         return self.process.stderr.read()
 
     def close(self) -> None:
+        """Kills the process."""
         self.process.kill()
         self.process.wait()
         self.faults.close()
 
 
 async def answer_requests(world: World, request_ids: list[str] | None = None) -> None:
-    """Servers that take every request, note its id in `served`, and answer probes."""
+    """Makes the servers accept every request, add its id to `request_ids`, and answer probes."""
     async with asyncio.TaskGroup() as group:
         for stand_in in world.servers:
             group.create_task(answer_connections(stand_in, group, request_ids))
@@ -106,9 +108,9 @@
     before_start: Callable[[Daemon], None] = lambda daemon: None,
     **changes: Any,
 ) -> None:
-    """Runs `scene` beside a balancer that serves; its list is known, and a watch is open.
+    """Runs `scenario` with a balancer process that serves: it has its list, and its watch is open.
 
-    `before` is called before the process starts.
+    `before_start` is called before the process starts; `changes` replace top-level keys of its start-up file.
     """
     world = world or World()
 
@@ -132,7 +134,7 @@
 
 
 async def wait_for_watch(world: World) -> ListRequest:
-    """Answers calls that do not wait, on new connections where one is broken, until a watch comes."""
+    """Answers list requests, also on new connections after one breaks, until the first watch; returns it."""
     while True:
         request = await world.discovery.next_request()
         request.send_list(1)
--- a/tests/crossing/world.py
+++ b/tests/crossing/world.py
@@ -1,4 +1,4 @@
-"""A balancer on a real loop, and stand-ins whose every step a test takes by hand."""
+"""A balancer in the test's own event loop, and stand-ins for servers and discovery that the test steps."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 from pointgw.net.wire.start_up import parse_start_up_file
 
 PROFILE = {"name": "chat", "semantics": "pure", "setupGoal": 200.0, "clientTimeout": 1500.0, "group": "all"}
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, with a timeout of 0 seconds
 
 
 def open_line(request_id: str = "9b1f", timeout_ms: int = 1500, extra: str = "") -> bytes:
+    """A client's request line."""
     return f"OPEN {request_id} 7f3a c=chat,t=acme,d={timeout_ms},g=5c0f{extra}\r\n".encode()
 
 
 class Connection:
-    """One connection in a test's hands."""
+    """The test's end of one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -36,14 +37,14 @@
         return await asyncio.wait_for(self.reader.readline(), 5)
 
     async def read_to_end(self) -> bytes:
-        """All that still comes until the end; raises ConnectionResetError where it is broken."""
+        """Reads to the end of the stream. Raises ConnectionResetError if the connection is reset."""
         return await asyncio.wait_for(self.reader.read(-1), 5)
 
     def send_eof(self) -> None:
         self.writer.write_eof()
 
     def pause_reading(self) -> None:
-        """It is not read any more, until `go_on`."""
+        """Stops reading from the socket until `resume_reading`."""
         transport: Any = self.writer.transport
         transport.pause_reading()
 
@@ -52,6 +53,7 @@
         transport.resume_reading()
 
     def reset(self) -> None:
+        """Closes the connection with RST."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.writer.transport.abort()
 
@@ -64,7 +66,7 @@
 
 
 class StandIn:
-    """A stand-in that listens; each connection taken is handed to the test."""
+    """A listening stand-in that queues each accepted connection for the test."""
 
     def __init__(self) -> None:
         self.accepted: asyncio.Queue[Connection] = asyncio.Queue()
@@ -90,7 +92,7 @@
 
 
 class ListRequest:
-    """One call to discovery, as it was read."""
+    """One HTTP request to discovery; `head`: its request line and headers."""
 
     def __init__(self, connection: Connection, head: bytes) -> None:
         self.connection, self.head = connection, head
@@ -99,13 +101,16 @@
         self.connection.send(b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body))
 
     def send_list(self, version: int, *entries: dict[str, Any], full: bool = False) -> None:
-        told = {"index": version, "snapshot": full, "endpoints": list(entries)}
-        self.respond(json.dumps(told).encode())
+        """Answers with list entries: with changes, or with the `full` list."""
+        answer = {"index": version, "snapshot": full, "endpoints": list(entries)}
+        self.respond(json.dumps(answer).encode())
 
 
 class Discovery(StandIn):
+    """The stand-in for discovery."""
+
     async def next_request(self, connection: Connection | None = None) -> ListRequest:
-        """The next call, on a connection that is kept or on a new one."""
+        """The next request on `connection`, or on a new one where that is None or has ended."""
         connection = connection or await self.next_connection()
         try:
             head = await asyncio.wait_for(connection.reader.readuntil(b"\r\n\r\n"), 10)
@@ -115,15 +120,15 @@
 
 
 class ControlledLoop:
-    """The loop of a balancer, but for dials, which wait where a test says."""
+    """An event loop whose `create_connection` waits for the test before or after it connects."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.before_connect: asyncio.Event | None = None  # a dial waits for this before it goes out
-        self.after_connect: asyncio.Event | None = (
-            None  # one that is up comes back to who asked for it after this
-        )
-        self.connect_pending = asyncio.Event()  # one waits, before or after
+        # Waited for before connecting.
+        self.before_connect: asyncio.Event | None = None
+        # Waited for once connected, before the caller gets the result.
+        self.after_connect: asyncio.Event | None = None
+        self.connect_pending = asyncio.Event()  # set while a connect waits for one of the two
         self.connected = asyncio.Event()
 
     def __getattr__(self, name: str) -> Any:
@@ -133,16 +138,19 @@
         if self.before_connect is not None:
             self.connect_pending.set()
             await self.before_connect.wait()
-        made = await self.loop.create_connection(factory, *address)
+        result = await self.loop.create_connection(factory, *address)
         self.connected.set()
         if self.after_connect is not None:
             self.connect_pending.set()
             await self.after_connect.wait()
-        return made
+        return result
 
 
 class World:
-    """`limits`, `rules`, `profile`: settings other than the usual; `mode`: how the list is had."""
+    """Stand-ins for servers and discovery, the start-up settings of a balancer, and its clients.
+
+    `limits`, `rules`, `profile`: settings that differ from the defaults; `mode`: the membership mode.
+    """
 
     def __init__(
         self, servers: int = 2, limits: dict[str, Any] | None = None, rules: dict[str, Any] | None = None,
@@ -163,7 +171,7 @@
 
     @property
     def listen_port(self) -> int:
-        """The balancer's own port: it takes a free one, so that runs beside one another don't meet."""
+        """The balancer's own port: a free one, so that test runs in parallel don't collide."""
         if not self._listen_port:
             listener = self.process.connections.listener
             assert listener is not None and listener.socket is not None
@@ -171,6 +179,7 @@
         return self._listen_port
 
     def list_entry(self, i: int, **changes: Any) -> dict[str, Any]:
+        """The server list's entry of server `i`."""
         return {
             "name": f"s-{i}", "address": f"127.0.0.1:{self.servers[i].port}", "zone": "a", "type": "m",
             "group": 0, "status": "up", "weight": 1.0, "since_ms": 0,
@@ -192,6 +201,7 @@
         return json.dumps(start_up | addresses).encode()
 
     async def start(self) -> None:
+        """Starts the stand-ins."""
         for stand_in in (*self.servers, self.discovery):
             await stand_in.start()
 
@@ -208,21 +218,21 @@
         return connection
 
     async def next_setup(self, unused: Connection | None = None) -> tuple[int, Connection]:
-        """The next connection that a setup opened, and at which server."""
-        waiting = {
+        """The next connection that a setup opens: the server's index and the server's end."""
+        accepts = {
             asyncio.ensure_future(stand_in.accepted.get()): i for i, stand_in in enumerate(self.servers)
         }
-        done, _ = await asyncio.wait(waiting, timeout=5, return_when=asyncio.FIRST_COMPLETED)
-        for task in waiting.keys() - done:
+        done, _ = await asyncio.wait(accepts, timeout=5, return_when=asyncio.FIRST_COMPLETED)
+        for task in accepts.keys() - done:
             task.cancel()
-        assert done, "no setup came"
-        first = min(done, key=lambda task: waiting[task])
+        assert done, "no setup connected in time"
+        first = min(done, key=lambda task: accepts[task])
         for other in done - {first}:
-            self.servers[waiting[other]].accepted.put_nowait(other.result())
-        return waiting[first], first.result()
+            self.servers[accepts[other]].accepted.put_nowait(other.result())
+        return accepts[first], first.result()
 
     async def open_tunnel(self, request_id: str = "9b1f") -> tuple[Connection, Connection]:
-        """A client and its server, joined."""
+        """Opens a tunnel and returns the client's and the server's end."""
         client = await self.connect_client()
         client.send(open_line(request_id))
         _, server = await self.next_setup()
@@ -232,7 +242,7 @@
         return client, server
 
     def server_received_data(self) -> bool:
-        """Whether a server has read anything; what is in its socket is read before."""
+        """Whether a server has received data that the test has not read."""
         return any(
             connection.reader._buffer  # type: ignore[attr-defined]
             for server in self.servers
@@ -241,16 +251,16 @@
 
 
 async def wait_until(condition: Callable[[], object], timeout: float = 5.0) -> None:
-    """Waits for what is bound to come; fails where it does not."""
+    """Waits until `condition()` is true; fails after `timeout` seconds."""
     loop = asyncio.get_running_loop()
     end = loop.time() + timeout
     while not condition():
-        assert loop.time() < end, "it did not come about"
+        assert loop.time() < end, "the condition did not become true in time"
         await asyncio.sleep(0.002)
 
 
 async def run_loop_iterations(count: int = 20) -> None:
-    """Lets the loop go round so often: all that is ready is done."""
+    """Gives the event loop `count` iterations, so that it handles everything that is ready."""
     for _ in range(count):
         await asyncio.sleep(0.001)
 
@@ -259,14 +269,17 @@
     scenario: Callable[[BalancerProcess, World, ControlledLoop], Awaitable[None]], world: World,
     answer_first_request: bool = True, timeout: float = 20.0, **process_options: Any,
 ) -> None:  # fmt: skip
-    """`first`: discovery's first call is answered, so that the list is known to be as it is; its watch stays
-    open as `world.watch`. `beside`: what else the balancer is given."""
+    """Runs `scenario` with a balancer, for at most `timeout` seconds.
+
+    `answer_first_request`: answers discovery's first request, which confirms the start-up file's list, and
+    leaves the watch after it open as `world.watch`. `process_options`: further arguments of BalancerProcess.
+    """
 
     async def main() -> None:
         await world.start()
-        told = parse_start_up_file(world.start_up_file())
+        settings = parse_start_up_file(world.start_up_file())
         loop = ControlledLoop(asyncio.get_running_loop())
-        process = BalancerProcess(told, loop, lambda: told, **process_options)  # type: ignore[arg-type]
+        process = BalancerProcess(settings, loop, lambda: settings, **process_options)  # type: ignore[arg-type]
         world.process = process
         serving = asyncio.create_task(process.serve())
         try:
