--- a/tests/crossing/test_crowd.py
+++ b/tests/crossing/test_crowd.py
@@ -1,4 +1,8 @@
-"""Idle clients fill the descriptors of a balancer, in a process of its own, while discovery is down."""
+"""Idle clients use up the descriptors of a balancer, in its own process, while discovery is down.
+
+Guards against a balancer that has no descriptors left for discovery, for its servers or for clients that send
+requests.
+"""
 
 from __future__ import annotations
 
@@ -19,12 +23,12 @@
 from crossing.world import Connection, World, open_line
 from pointgw.net.core.reducer import LIST_DEADLINE_SECONDS
 
-ALLOWED = 128  # descriptors of the process
-CROWD = 6 * ALLOWED
+DESCRIPTOR_LIMIT = 128  # of the process
+IDLE_CLIENTS = 6 * DESCRIPTOR_LIMIT
 
 
-def idle(port: int) -> socket.socket:
-    """A client that comes and says nothing; where the backlog is full it may be left out."""
+def connect_idle(port: int) -> socket.socket:
+    """A client that connects and sends nothing; with a full backlog it may not connect."""
     sock = socket.socket()
     sock.setblocking(False)
     with suppress(BlockingIOError):
@@ -32,13 +36,13 @@
     return sock
 
 
-async def served(port: int, name: str, timeout: float) -> bool:
-    """A client that is shut unread comes again, as a crowd may have it."""
+async def is_served(port: int, request_id: str, timeout: float) -> bool:
+    """Whether a request is answered in time; a client closed without an answer tries again."""
     end = time.monotonic() + timeout
     while time.monotonic() < end:
         with suppress(OSError):
             connection = Connection(*await asyncio.open_connection("127.0.0.1", port))
-            connection.send(open_line(name))
+            connection.send(open_line(request_id))
             if await connection.read_line() == b"UP r-1\r\n":
                 return True
         await asyncio.sleep(0.02)
@@ -46,70 +50,70 @@
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-def test_idle_clients_that_fill_the_descriptors_keep_neither_discovery_nor_servers_out(
-    mode: str, tmp_path: Path
-) -> None:
-    # Clients that wait so long are not ended for saying nothing while this lasts.
+def test_idle_clients_leave_descriptors_for_discovery_and_servers(mode: str, tmp_path: Path) -> None:
+    # With so long a client timeout no idle client times out during the test.
     world = World(mode=mode, probes=True, profile={"clientTimeout": 40000.0})
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
 
-    def limited() -> None:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (ALLOWED, ALLOWED))
+    def limit_descriptors() -> None:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT))
 
-    async def answers(connection: Connection) -> None:
+    async def answer_lines(connection: Connection) -> None:
         with suppress(Exception):
             while line := await connection.reader.readline():
                 connection.send(b"PONG x0=0.1\r\n" if line.startswith(b"STATS") else b"UP r-1\r\n")
 
-    async def serve() -> None:
+    async def serve_all() -> None:
         async with asyncio.TaskGroup() as group:
             for stand_in in world.servers:
 
-                async def taking(stand_in=stand_in) -> None:  # type: ignore[no-untyped-def]
+                async def serve(stand_in=stand_in) -> None:  # type: ignore[no-untyped-def]
                     while True:
-                        group.create_task(answers(await stand_in.accepted.get()))
+                        group.create_task(answer_lines(await stand_in.accepted.get()))
 
-                group.create_task(taking())
+                group.create_task(serve())
 
     async def main() -> None:
         await world.start()
-        told = json.loads(world.start_up_file()) | {
+        content = json.loads(world.start_up_file()) | {
             "listen": f"127.0.0.1:{port}",
-            "limits": {"sockets": ALLOWED},
+            "limits": {"sockets": DESCRIPTOR_LIMIT},
         }
         config = tmp_path / "config.json"
-        config.write_text(json.dumps(told))
-        serving = asyncio.create_task(serve())
+        config.write_text(json.dumps(content))
+        serving = asyncio.create_task(serve_all())
         process = subprocess.Popen(
             [sys.executable, "-m", "pointgw"], env=os.environ | {"GW_CONFIG": str(config)},
-            preexec_fn=limited, stderr=subprocess.DEVNULL,
+            preexec_fn=limit_descriptors, stderr=subprocess.DEVNULL,
         )  # fmt: skip
-        crowd: list[socket.socket] = []
+        idle_clients: list[socket.socket] = []
         try:
             request = await world.discovery.next_request()
             request.send_list(1)
             await world.discovery.next_request(request.connection)
-            assert await served(port, "first", 5)
-            at = world.discovery.port
-            world.discovery.stop()  # down: its connections break, new ones are refused
-            for _ in range(3):  # each of them a burst that comes in one turn of the balancer's loop
-                crowd += [idle(port) for _ in range(CROWD // 3)]
+            assert await is_served(port, "first", 5)
+            discovery_port = world.discovery.port
+            world.discovery.stop()  # its connections are closed, new ones refused
+            for _ in range(3):  # bursts, each within one iteration of the balancer's loop
+                idle_clients += [connect_idle(port) for _ in range(IDLE_CLIENTS // 3)]
                 await asyncio.sleep(0.4)
-            assert len(os.listdir(f"/proc/{process.pid}/fd")) <= ALLOWED
-            assert await served(port, "second", 5)
-            world.discovery.server = await asyncio.start_server(world.discovery._accept, "127.0.0.1", at)
-            back = time.monotonic()
+            assert len(os.listdir(f"/proc/{process.pid}/fd")) <= DESCRIPTOR_LIMIT
+            assert await is_served(port, "second", 5)
+            world.discovery.server = await asyncio.start_server(
+                world.discovery._accept, "127.0.0.1", discovery_port
+            )
+            reachable_at = time.monotonic()
             request = await world.discovery.next_request()
-            assert time.monotonic() - back < LIST_DEADLINE_SECONDS
+            assert time.monotonic() - reachable_at < LIST_DEADLINE_SECONDS
             request.send_list(2)
-            assert await served(port, "third", 5)
+            assert await is_served(port, "third", 5)
             assert process.poll() is None
         finally:
             process.kill()
             process.wait()
             serving.cancel()
-            for sock in crowd:
+            for sock in idle_clients:
                 sock.close()
             world.stop()
 
--- a/tests/crossing/test_log.py
+++ b/tests/crossing/test_log.py
@@ -1,4 +1,8 @@
-"""A log that nobody reads: the balancer goes on serving, and ends in time."""
+"""A log pipe that nobody reads.
+
+Guards against a balancer that blocks on writing its log once the pipe is full: it has to serve and to stop in
+time.
+"""
 
 from __future__ import annotations
 
@@ -8,10 +12,10 @@
 
 from crossing.daemon import Daemon, run_with_daemon
 
-REQUESTS = 400  # each leaves over 1 KiB in a debug log: far more than a pipe holds
+REQUESTS = 400  # each logs over 1 KiB at debug level: far more than a pipe holds
 
 
-def test_a_log_that_nobody_reads_holds_nobody_up(tmp_path: Path) -> None:
+def test_an_unread_log_blocks_neither_requests_nor_the_stop(tmp_path: Path) -> None:
     async def scenario(daemon: Daemon) -> None:
         for number in range(REQUESTS):
             assert await daemon.request(f"r{number}") == b"UP r-1\r\n", f"request {number}"
--- a/tests/crossing/test_system_calls.py
+++ b/tests/crossing/test_system_calls.py
@@ -1,4 +1,8 @@
-"""connect, socket and fsync fail or hang for a moment, in a balancer of its own process."""
+"""System calls of a balancer, in its own process, that fail or hang for a while.
+
+Guards against a server ejected for a local lack of sockets or routes, against a disk that blocks requests or
+the stop, and against a snapshot that is not written again after a disk error.
+"""
 
 from __future__ import annotations
 
@@ -14,24 +18,24 @@
 from crossing.world import World
 from soak.syscall_faults import Call
 
-APART = 0.025  # seconds between two requests
-SPAN = 0.6  # seconds for which calls fail
-AFTER = 1.5  # seconds after that in which all are served
-REFUSED = b"BUSY\r\n"
+REQUEST_INTERVAL = 0.025  # seconds
+FAILURE_SECONDS = 0.6  # for which calls fail
+RECOVERED_SECONDS = 1.5  # after the failure, in which every request has to be served
+BUSY = b"BUSY\r\n"
 
 
-async def requests(daemon: Daemon, name: str, span: float) -> list[asyncio.Task[bytes]]:
-    """Requests that begin at a steady pace, whatever becomes of those before."""
-    begun: list[asyncio.Task[bytes]] = []
-    end = time.monotonic() + span
+async def send_requests(daemon: Daemon, name: str, duration: float) -> list[asyncio.Task[bytes]]:
+    """Starts requests at a steady pace, without waiting for earlier ones."""
+    requests: list[asyncio.Task[bytes]] = []
+    end = time.monotonic() + duration
     while time.monotonic() < end:
-        begun.append(asyncio.create_task(daemon.request(f"{name}-{len(begun)}")))
-        await asyncio.sleep(APART)
-    return begun
+        requests.append(asyncio.create_task(daemon.request(f"{name}-{len(requests)}")))
+        await asyncio.sleep(REQUEST_INTERVAL)
+    return requests
 
 
 @pytest.mark.parametrize(
-    ("call", "fault"),
+    ("call", "error_number"),
     [
         (Call.CONNECT, errno.ENETUNREACH),
         (Call.CONNECT, errno.EHOSTUNREACH),
@@ -39,25 +43,27 @@
         (Call.SOCKET, errno.ENOBUFS),
         (Call.SOCKET, errno.ENFILE),
     ],
-    ids=lambda told: told.name.lower() if isinstance(told, Call) else errno.errorcode[told],
+    ids=lambda value: value.name.lower() if isinstance(value, Call) else errno.errorcode[value],
 )
-def test_a_moment_without_connections_ejects_no_server(call: Call, fault: int, tmp_path: Path) -> None:
+def test_a_short_local_failure_to_connect_ejects_no_server(
+    call: Call, error_number: int, tmp_path: Path
+) -> None:
     async def scenario(daemon: Daemon) -> None:
         for number in range(20):
             assert await daemon.request(f"before-{number}") == b"UP r-1\r\n"
-        daemon.faults.fail(call, fault)
-        during = await requests(daemon, "during", SPAN)
+        daemon.faults.fail(call, error_number)
+        during = await send_requests(daemon, "during", FAILURE_SECONDS)
         daemon.faults.clear(call)
         await asyncio.sleep(0.1)
-        after = await asyncio.gather(*await requests(daemon, "after", AFTER))
-        assert after == [b"UP r-1\r\n"] * len(after), f"{after.count(REFUSED)} of {len(after)} refused"
+        after = await asyncio.gather(*await send_requests(daemon, "after", RECOVERED_SECONDS))
+        assert after == [b"UP r-1\r\n"] * len(after), f"{after.count(BUSY)} of {len(after)} refused"
         answers = await asyncio.gather(*during)
         assert all(answer.startswith((b"UP ", b"BUSY")) for answer in answers), answers
 
     run_with_daemon(scenario, tmp_path, World(servers=8, probes=True))
 
 
-def test_a_disk_that_hangs_holds_up_neither_service_nor_the_stop(tmp_path: Path) -> None:
+def test_a_hanging_disk_delays_neither_requests_nor_the_stop(tmp_path: Path) -> None:
     operator = tmp_path / "operator.toml"
     operator.write_text(f'[state]\nfolder = "{tmp_path}/state"\n')
 
@@ -77,24 +83,26 @@
 
 
 @pytest.mark.parametrize(
-    ("call", "fault"),
+    ("call", "error_number"),
     [(Call.FSYNC, errno.EIO), (Call.OPEN, errno.ENOSPC), (Call.RENAME, errno.EIO)],
-    ids=lambda told: told.name.lower() if isinstance(told, Call) else errno.errorcode[told],
+    ids=lambda value: value.name.lower() if isinstance(value, Call) else errno.errorcode[value],
 )
-def test_a_disk_that_fails_for_a_while_is_written_again(call: Call, fault: int, tmp_path: Path) -> None:
+def test_a_snapshot_is_written_after_a_disk_error_ends(call: Call, error_number: int, tmp_path: Path) -> None:
     folder = tmp_path / "state"
     operator = tmp_path / "operator.toml"
     operator.write_text(f'[state]\nfolder = "{folder}"\n')
 
     async def scenario(daemon: Daemon) -> None:
-        daemon.faults.fail(call, fault)
+        daemon.faults.fail(call, error_number)
         daemon.world.watch.send_list(2, daemon.world.list_entry(0, status="draining"))
         await asyncio.sleep(2.5)
         assert await daemon.request("r1") == b"UP r-1\r\n"
         daemon.faults.clear(call)
         end = time.monotonic() + 5.0
-        while not any(b"draining" in f.read_bytes() or b"leaving" in f.read_bytes() for f in states(folder)):
-            assert time.monotonic() < end, "the drain was never written"
+        while not any(
+            b"draining" in f.read_bytes() or b"leaving" in f.read_bytes() for f in snapshot_files(folder)
+        ):
+            assert time.monotonic() < end, "the drain was not written in time"
             await asyncio.sleep(0.1)
         daemon.process.send_signal(signal.SIGTERM)
         assert await daemon.wait_for_exit(4.0) and daemon.process.returncode == 0
@@ -103,6 +111,6 @@
     run_with_daemon(scenario, tmp_path, environment={"GW_OPERATOR": str(operator)})
 
 
-def states(folder: Path) -> list[Path]:
-    """The generations on disk."""
+def snapshot_files(folder: Path) -> list[Path]:
+    """The stored snapshots."""
     return [path for path in folder.glob("state.*") if path.is_file()] if folder.exists() else []
