--- a/tests/crossing/test_own_faults.py
+++ b/tests/crossing/test_own_faults.py
@@ -1,4 +1,8 @@
-"""Faults of the program itself: no request without an answer, no work by the clock that ends for good."""
+"""Internal errors: an exception is injected into one step of the balancer.
+
+Guards against a request that then gets no answer, a periodic timer that does not fire again, and a stop that
+does not end.
+"""
 
 from __future__ import annotations
 
@@ -17,58 +21,58 @@
 
 
 @pytest.fixture(autouse=True)
-def no_counts() -> None:
+def clear_violations() -> None:
     violations.clear()
 
 
-def failing(times: int, then: Any) -> Any:
-    """A method that raises so many times, and then does as it did."""
-    left = [times]
+def failing(times: int, original: Any) -> Any:
+    """A method that raises `times` times and then calls the original."""
+    remaining = [times]
 
     def method(self: Any, *args: Any) -> Any:
-        if left[0] > 0:
-            left[0] -= 1
-            raise RuntimeError("a fault that a test put here")
-        return then(self, *args)
+        if remaining[0] > 0:
+            remaining[0] -= 1
+            raise RuntimeError("an error injected by a test")
+        return original(self, *args)
 
     return method
 
 
-def test_work_by_the_clock_goes_on_after_an_exception() -> None:
+def test_a_periodic_timer_survives_an_exception() -> None:
     async def main() -> None:
-        done: list[float] = []
+        called_at: list[float] = []
 
         def work() -> None:
-            done.append(time.monotonic())
-            if len(done) == 1:
-                raise RuntimeError("a fault that a test put here")
+            called_at.append(time.monotonic())
+            if len(called_at) == 1:
+                raise RuntimeError("an error injected by a test")
 
-        periodic = PeriodicTimer(asyncio.get_running_loop(), "test", lambda: 0.01, work)
-        periodic.run()
+        timer = PeriodicTimer(asyncio.get_running_loop(), "test", lambda: 0.01, work)
+        timer.run()
         await asyncio.sleep(0.1)
-        periodic.stop()
-        count = len(done)
+        timer.stop()
+        count = len(called_at)
         await asyncio.sleep(0.05)
-        assert count >= 3 and len(done) == count and violations["periodic_test"] == 1
+        assert count >= 3 and len(called_at) == count and violations["periodic_test"] == 1
 
     asyncio.run(main())
 
 
-def test_a_tick_that_fails_is_followed_by_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_control_pass_that_fails_is_followed_by_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         monkeypatch.setattr(Balancer, "_run_control_pass", failing(3, Balancer._run_control_pass))
-        rounds = process.reducer.balancer.last_pass_at
-        await wait_until(lambda: process.reducer.balancer.last_pass_at > rounds)
+        previous = process.reducer.balancer.last_pass_at
+        await wait_until(lambda: process.reducer.balancer.last_pass_at > previous)
         assert violations["event_failed"] == 3
 
     run_scenario(scenario, World())
 
 
-def test_a_stop_whose_step_fails_ends_all_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stop_with_a_failing_step_still_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client, _ = await world.open_tunnel()
-        stopping = type(process.reducer)._stop_requested
-        monkeypatch.setattr(type(process.reducer), "_stop_requested", failing(2, stopping))
+        original = type(process.reducer)._stop_requested
+        monkeypatch.setattr(type(process.reducer), "_stop_requested", failing(2, original))
         process.stop()
         assert await client.read_line() == b"MOVE\r\n"
         await asyncio.wait_for(asyncio.shield(process.ended), 4.0)
@@ -76,7 +80,7 @@
     run_scenario(scenario, World())
 
 
-def test_a_stop_that_never_ends_by_itself_is_ended_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stop_whose_every_step_fails_is_forced_to_end_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         monkeypatch.setattr(type(process.reducer), "_stop_requested", failing(10**6, None))
         started_at = time.monotonic()
@@ -88,17 +92,17 @@
     run_scenario(scenario, World())
 
 
-def test_an_attempt_that_cannot_be_begun_is_followed_by_another(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_setup_that_cannot_be_started_is_followed_by_another(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
-        begin = server_module.ServerConnection.__init__
-        monkeypatch.setattr(server_module.ServerConnection, "__init__", failing(1, begin))
+        original = server_module.ServerConnection.__init__
+        monkeypatch.setattr(server_module.ServerConnection, "__init__", failing(1, original))
         await world.open_tunnel()
         assert violations["effect_failed"] == 1
 
     run_scenario(scenario, World())
 
 
-def test_a_request_that_the_decisions_forget_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_the_policy_drops_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         monkeypatch.setattr(Balancer, "tunnel_arrived", lambda *args: None)
         client = await world.connect_client()
