--- a/tests/crossing/test_hand_over.py
+++ b/tests/crossing/test_hand_over.py
@@ -1,4 +1,8 @@
-"""The server's answer handed over to the client, and what crosses it: lines, ends, faults."""
+"""Races around the server's answer: further lines, closed connections and exceptions at the same moment.
+
+Guards against lines that are lost, cut or forwarded too early, against a reset forwarded after a server's
+last line, and against a tunnel that an exception leaves open or without an answer.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,8 @@
 from pointgw.net.wire.lines import MAX_LINE_BYTES
 
 
-async def asked(world: World) -> tuple[Any, Any]:
+async def start_setup(world: World) -> tuple[Any, Any]:
+    """The client's and the server's end of a tunnel whose server has not answered yet."""
     client = await world.connect_client()
     client.send(open_line())
     _, server = await world.next_setup()
@@ -21,9 +26,9 @@
     return client, server
 
 
-def test_lines_in_the_answers_own_segment_follow_it() -> None:
+def test_lines_in_the_same_segment_as_the_answer_follow_it() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
-        client, server = await asked(world)
+        client, server = await start_setup(world)
         server.send(b"UP r-1\r\nLOAD 5\r\nhello\r\nhal")
         for line in (b"UP r-1\r\n", b"LOAD 5\r\n", b"hello\r\n"):
             assert await client.read_line() == line
@@ -33,7 +38,7 @@
     run_scenario(scenario, World())
 
 
-def test_half_a_line_before_a_reset_is_not_passed_on_and_the_client_is_broken_too() -> None:
+def test_a_partial_line_before_a_reset_is_not_forwarded_and_the_client_is_reset() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client, server = await world.open_tunnel()
         server.send(b"whole\r\nhal")
@@ -45,54 +50,54 @@
     run_scenario(scenario, World())
 
 
-@pytest.mark.parametrize("last", [b"BYE x0=1\r\n", b"MOVE\r\n"])
+@pytest.mark.parametrize("last_line", [b"BYE x0=1\r\n", b"MOVE\r\n"])
 @pytest.mark.parametrize("close_method", ["send_eof", "reset"])
-def test_a_last_line_in_two_reads_ends_in_order_however_its_connection_does(
-    last: bytes, close_method: str
+def test_after_a_last_line_in_two_reads_the_client_is_closed_in_order(
+    last_line: bytes, close_method: str
 ) -> None:
-    # Guards the last line against a reset passed on: the server had said that it ends.
+    # Guards the last line against a forwarded reset: the server had announced the end.
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client, server = await world.open_tunnel()
-        server.send(b"b\r\n" + last[:2])
+        server.send(b"b\r\n" + last_line[:2])
         assert await client.read_line() == b"b\r\n"
-        server.send(last[2:])
+        server.send(last_line[2:])
         await wait_until(
-            lambda: [protocol for protocol in process.servers.values() if protocol.end_line is not None]
+            lambda: [server for server in process.servers.values() if server.end_line is not None]
         )
         getattr(server, close_method)()
-        assert await client.read_to_end() == last
+        assert await client.read_to_end() == last_line
 
     run_scenario(scenario, World())
 
 
-@pytest.mark.parametrize("joined", [True, False])
-def test_a_line_that_never_ends_is_bounded(joined: bool) -> None:
+@pytest.mark.parametrize("opened", [True, False])
+def test_the_buffer_for_a_line_without_an_end_is_bounded(opened: bool) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
-        client, server = await (world.open_tunnel() if joined else asked(world))
+        client, server = await (world.open_tunnel() if opened else start_setup(world))
         (protocol,) = process.servers.values()
-        most = 0
+        largest = 0
         for _ in range(3 * MAX_LINE_BYTES // 512):
             if not server.writer.is_closing():
                 server.send(b"y" * 512)
             await run_loop_iterations(1)
-            most = max(most, len(protocol.buffer))
-        assert await client.read_to_end() == (b"" if joined else b"ERR\r\n")
-        assert most <= MAX_LINE_BYTES + 64 * 1024 and not process.servers
+            largest = max(largest, len(protocol.buffer))
+        assert await client.read_to_end() == (b"" if opened else b"ERR\r\n")
+        assert largest <= MAX_LINE_BYTES + 64 * 1024 and not process.servers
 
     run_scenario(scenario, World(profile={"semantics": "side_effect"}))
 
 
 @pytest.mark.parametrize("left_first", [True, False])
-def test_the_answer_and_the_clients_end_in_one_turn(left_first: bool) -> None:
+def test_the_answer_and_the_clients_end_in_one_loop_iteration(left_first: bool) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
-        client, server = await asked(world)
+        client, server = await start_setup(world)
         events: list[Any] = []
         submit = process.submit
 
-        def hold(event: Any) -> None:
+        def intercept(event: Any) -> None:
             (events.append if isinstance(event, ev.SetupOpened | ev.ClientLeft) else submit)(event)
 
-        process.submit = hold  # type: ignore[method-assign]
+        process.submit = intercept  # type: ignore[method-assign]
         server.send(b"UP r-1\r\nhello\r\n")
         client.reset()
         await wait_until(lambda: len(events) == 2)
@@ -106,31 +111,34 @@
             and not process.reducer.clients
             and not process.reducer.balancer.setups_in_progress
         )
-        assert not any(ep.pending_setups or ep.tunnels for ep in process.reducer.balancer.servers.values())
+        assert not any(
+            server_state.pending_setups or server_state.tunnels
+            for server_state in process.reducer.balancer.servers.values()
+        )
 
     run_scenario(scenario, World())
 
 
-@pytest.mark.parametrize("step", ["setup_opened", "may_write_request", "setup_ended"])
-def test_a_fault_of_a_decision_ends_one_tunnel_with_an_answer(monkeypatch: Any, step: str) -> None:
+@pytest.mark.parametrize("method", ["setup_opened", "may_write_request", "setup_ended"])
+def test_an_exception_in_the_policy_ends_one_tunnel_with_an_answer(monkeypatch: Any, method: str) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         balancer = process.reducer.balancer
         with monkeypatch.context() as patch:
-            patch.setattr(balancer, step, lambda *_: 1 // 0)
+            patch.setattr(balancer, method, lambda *_: 1 // 0)
             client = await world.connect_client()
             client.send(open_line())
             _, server = await world.next_setup()
-            if step == "setup_opened":
-                server.send(b"UP r-1\r\nraw\r\n")  # guards a client that was not joined from raw lines
-            elif step == "setup_ended":
+            if method == "setup_opened":
+                # Guards a client whose tunnel was not opened against raw lines.
+                server.send(b"UP r-1\r\nraw\r\n")
+            elif method == "setup_ended":
                 server.reset()
             assert await client.read_to_end() == b"ERR\r\n"
             await wait_until(lambda: not process.servers)
-            assert (
-                step == "setup_ended" or not balancer.setups_in_progress
-            )  # nothing is reckoned to be out for ever
+            # No setup counts as in progress for ever.
+            assert method == "setup_ended" or not balancer.setups_in_progress
         assert violations["event_failed"]
-        opened, _ = await world.open_tunnel("two")  # and the next one is served
+        opened, _ = await world.open_tunnel("two")  # the next request is served
         opened.close()
 
     violations.clear()
@@ -138,17 +146,17 @@
     violations.clear()
 
 
-def test_a_fault_as_an_open_tunnel_ends_ends_its_client() -> None:
+def test_an_exception_at_the_end_of_an_open_tunnel_resets_its_client() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client, server = await world.open_tunnel()
-        take = process.reducer.dispatch
+        dispatch = process.reducer.dispatch
 
-        def fault(event: Any, now: float) -> Any:
+        def failing_dispatch(event: Any, now: float) -> Any:
             if isinstance(event, ev.SetupEnded):
                 raise ZeroDivisionError
-            return take(event, now)
+            return dispatch(event, now)
 
-        process.reducer.dispatch = fault  # type: ignore[method-assign]
+        process.reducer.dispatch = failing_dispatch  # type: ignore[method-assign]
         server.send(b"BYE\r\n")
         server.send_eof()
         with pytest.raises(ConnectionResetError):
@@ -160,7 +168,7 @@
     violations.clear()
 
 
-def test_lines_of_a_client_after_its_servers_end_are_read_and_dropped() -> None:
+def test_lines_from_a_client_after_its_server_ended_are_read_and_dropped() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client, server = await world.open_tunnel()
         server.send(b"BYE\r\n")
@@ -172,7 +180,7 @@
     run_scenario(scenario, World())
 
 
-def test_the_clients_last_lines_reach_a_server_that_reads_slowly() -> None:
+def test_the_clients_last_lines_reach_a_slow_server() -> None:
     lines = b"".join(b"%07d" % i + b"x" * 1000 + b"\r\n" for i in range(3000))
 
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
@@ -182,7 +190,7 @@
         client.send_eof()
         await run_loop_iterations(300)
         server.resume_reading()
-        got = await server.read_to_end()
-        assert got == lines
+        received = await server.read_to_end()
+        assert received == lines
 
     run_scenario(scenario, World())
--- a/tests/crossing/test_setup.py
+++ b/tests/crossing/test_setup.py
@@ -1,4 +1,8 @@
-"""A setup and what crosses it: its client, its clock, the list, its server's answer."""
+"""Races around a setup: its client leaves, a timeout comes due, the list changes or its server answers.
+
+Guards rules 1 to 3: a request must not be written for a client that has left, to a server that drains or
+after its time, must not run twice because of an uncertain end, and must get one final answer.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +17,15 @@
 from pointgw.net.run import tcp
 from pointgw.net.run.balancer_process import BalancerProcess
 
-ONCE = {"semantics": "side_effect"}
-GONE = 0.1  # seconds after which nothing of a client that has left may be sent on
-LATE = {"connectTimeout": 5000.0}  # dials that are held are not given up by the clock
+SIDE_EFFECT = {"semantics": "side_effect"}
+MAX_SECONDS_AFTER_LEAVING = 0.1  # after it no request of a client that has left may be forwarded
+LONG_CONNECT_TIMEOUT = {"connectTimeout": 5000.0}  # connects delayed by a test don't time out
 
 
-def test_a_dials_time_out_after_the_line_was_written_is_not_taken_as_never_sent() -> None:
-    # Guards rule 2: the dial's clock comes due between the write and the step after it.
+def test_a_connect_timeout_after_the_request_was_written_does_not_count_as_unsent() -> None:
+    # Guards rule 2: the connect timeout comes due between the write and the step after it.
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
-        loop.after_connect = asyncio.Event()  # up, written, and the dial has not come back yet
+        loop.after_connect = asyncio.Event()  # connected, written, but create_connection has not returned
         client = await world.connect_client()
         client.send(open_line())
         _, server = await world.next_setup()
@@ -31,12 +35,12 @@
         assert await client.read_line() == b"UP r-1\r\n"
         assert sum(len(stand_in.connections) for stand_in in world.servers) == 1
 
-    run_scenario(scenario, World(profile=ONCE))
+    run_scenario(scenario, World(profile=SIDE_EFFECT))
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("close_method", ["send_eof", "reset"])
-def test_a_client_that_leaves_while_its_server_is_dialled_is_not_sent_on(
+def test_the_request_of_a_client_that_leaves_during_the_connect_is_not_forwarded(
     may_cancel: bool, close_method: str
 ) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
@@ -50,25 +54,25 @@
         await run_loop_iterations()
         assert not world.server_received_data() and not process.servers and not process.reducer.clients
 
-    run_scenario(scenario, World(limits=LATE | {"mayCancel": may_cancel}))
+    run_scenario(scenario, World(limits=LONG_CONNECT_TIMEOUT | {"mayCancel": may_cancel}))
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("left_first", [True, False])
-def test_a_client_that_leaves_as_its_connection_comes_up(may_cancel: bool, left_first: bool) -> None:
-    """Both orders of the client's end and the server's connection, in one turn of the loop."""
+def test_a_client_that_leaves_as_its_setup_connects(may_cancel: bool, left_first: bool) -> None:
+    """The client's end and the server's connection in one loop iteration, in both orders."""
 
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         events: list[Any] = []
         submit = process.submit
 
-        def hold(event: Any) -> None:
+        def intercept(event: Any) -> None:
             if isinstance(event, ev.SetupConnected | ev.ClientLeft):
                 events.append(event)
             else:
                 submit(event)
 
-        process.submit = hold  # type: ignore[method-assign]
+        process.submit = intercept  # type: ignore[method-assign]
         client = await world.connect_client()
         client.send(open_line())
         await wait_until(lambda: events)
@@ -79,17 +83,17 @@
         for event in events[::-1] if left_first else events:
             submit(event)
         await run_loop_iterations()
-        assert time.monotonic() - left_at < GONE
+        assert time.monotonic() - left_at < MAX_SECONDS_AFTER_LEAVING
         if left_first:
             assert not world.server_received_data() and not process.servers
-        else:  # it had been sent when its client left: to end it is a cancel, and may not be allowed
+        else:  # sent before its client left: ending it is a cancel, which may be forbidden
             assert not process.servers if may_cancel else world.server_received_data()
 
-    run_scenario(scenario, World(limits=LATE | {"mayCancel": may_cancel}))
+    run_scenario(scenario, World(limits=LONG_CONNECT_TIMEOUT | {"mayCancel": may_cancel}))
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_a_client_that_leaves_while_queued_is_not_sent_on(may_cancel: bool) -> None:
+def test_the_request_of_a_client_that_leaves_while_queued_is_not_forwarded(may_cancel: bool) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         world.watch.send_list(2, *(world.list_entry(i, status="draining") for i in range(2)))
         watch = await world.discovery.next_request(world.watch.connection)
@@ -97,7 +101,7 @@
         client.send(open_line())
         await wait_until(lambda: process.reducer.balancer.queue)
         client.send_eof()
-        # What makes a server ready comes in the same turn as the client's end.
+        # The list that activates the servers comes in the same loop iteration as the client's end.
         watch.send_list(3, *(world.list_entry(i, status="up") for i in range(2)))
         await wait_until(lambda: process.reducer.list_version == 3 and not process.clients)
         await run_loop_iterations()
@@ -108,10 +112,10 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("close_method", ["send_eof", "reset"])
-def test_a_client_whose_end_was_not_read_yet_as_its_connection_comes_up_is_not_sent_on(
+def test_the_request_of_a_client_whose_end_is_unread_as_its_setup_connects_is_not_forwarded(
     may_cancel: bool, close_method: str
 ) -> None:
-    """Its end is in the socket; the loop, busy or with other events before it, has not come to it."""
+    """The end is in the socket; the loop, busy or with other events first, has not handled it yet."""
 
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         loop.before_connect = asyncio.Event()
@@ -119,7 +123,7 @@
         client.send(open_line())
         await loop.connect_pending.wait()
         (protocol,) = process.clients.values()
-        protocol.transport.pause_reading()  # its end is not read for as long as this lasts
+        protocol.transport.pause_reading()  # its end stays unread meanwhile
         getattr(client, close_method)()
         await wait_until(lambda: tcp.peer_close_events(protocol.transport))
         loop.before_connect.set()
@@ -127,11 +131,11 @@
         await run_loop_iterations()
         assert not world.server_received_data() and not process.reducer.clients
 
-    run_scenario(scenario, World(limits=LATE | {"mayCancel": may_cancel}))
+    run_scenario(scenario, World(limits=LONG_CONNECT_TIMEOUT | {"mayCancel": may_cancel}))
 
 
 @pytest.mark.parametrize("close_method", ["send_eof", "reset"])
-def test_no_further_setup_is_dialled_for_a_client_whose_end_was_not_read_yet(close_method: str) -> None:
+def test_no_further_setup_is_started_for_a_client_whose_end_is_unread(close_method: str) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client = await world.connect_client()
         client.send(open_line())
@@ -149,7 +153,7 @@
     run_scenario(scenario, World())
 
 
-def test_a_client_whose_line_and_end_come_at_once_is_not_sent_on() -> None:
+def test_a_request_that_comes_with_its_clients_end_is_not_forwarded() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         for _ in range(20):
             client = await world.connect_client()
@@ -161,33 +165,33 @@
     run_scenario(scenario, World(limits={"mayCancel": False}))
 
 
-def test_a_server_told_away_while_it_is_dialled_gets_nothing() -> None:
-    # Guards rule 3: what binds is when the first byte goes out.
+def test_a_server_that_drains_during_the_connect_gets_no_request() -> None:
+    # Guards rule 3: what counts is when the first byte is sent.
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         loop.before_connect = asyncio.Event()
         client = await world.connect_client()
         client.send(open_line())
         await loop.connect_pending.wait()
         (protocol,) = process.servers.values()
-        away = next(
+        draining = next(
             i for i, stand_in in enumerate(world.servers) if stand_in.port == protocol.attempt.address[1]
         )
-        world.watch.send_list(2, world.list_entry(away, status="draining"))
+        world.watch.send_list(2, world.list_entry(draining, status="draining"))
         await wait_until(lambda: process.reducer.list_version == 2)
         loop.before_connect.set()
-        at, server = await world.next_setup()
-        if at == away:  # its connection comes up, and ends with nothing on it
+        index, server = await world.next_setup()
+        if index == draining:  # it connects, and is closed without any data
             assert await server.read_to_end() == b""
-            at, server = await world.next_setup()
-        assert at != away and (await server.read_line()).startswith(b"OPEN")
+            index, server = await world.next_setup()
+        assert index != draining and (await server.read_line()).startswith(b"OPEN")
         server.send(b"UP r-1\r\n")
         assert await client.read_line() == b"UP r-1\r\n"
 
-    run_scenario(scenario, World(limits=LATE))
+    run_scenario(scenario, World(limits=LONG_CONNECT_TIMEOUT))
 
 
-def test_a_repeat_whose_window_ends_while_it_is_dialled_is_not_written() -> None:
-    # Guards rule 2: the window counts to the write, not to the choice.
+def test_a_repeat_whose_window_ends_during_the_connect_is_not_written() -> None:
+    # Guards rule 2: the write has to be within the window, not only the choice of the server.
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client = await world.connect_client()
         client.send(open_line())
@@ -195,23 +199,27 @@
         await server.read_line()
         loop.before_connect = asyncio.Event()
         loop.connect_pending.clear()
-        server.reset()  # it may have run: a repeat is chosen within the window
+        server.reset()  # the request may have run: a repeat is chosen within the window
         await loop.connect_pending.wait()
-        (client_of,) = process.reducer.clients.values()
-        first = client_of.tunnel.setups[0].sent_at
-        await wait_until(lambda: process.now() > first + client_of.tunnel.profile.dedup_window)
+        (reducer_client,) = process.reducer.clients.values()
+        first_sent_at = reducer_client.tunnel.setups[0].sent_at
+        await wait_until(lambda: process.now() > first_sent_at + reducer_client.tunnel.profile.dedup_window)
         loop.before_connect.set()
-        # Where any server may repeat it, a decline promises nothing that is not so.
+        # With these semantics any server may repeat the request, so BUSY is right even if it has run.
         assert await client.read_to_end() in (b"ERR\r\n", b"BUSY\r\n")
         await run_loop_iterations()
         assert not world.server_received_data()
 
     run_scenario(
-        scenario, World(limits=LATE, profile={"semantics": "token", "dedupWindow": 150.0, "setupGoal": 600.0})
+        scenario,
+        World(
+            limits=LONG_CONNECT_TIMEOUT,
+            profile={"semantics": "token", "dedupWindow": 150.0, "setupGoal": 600.0},
+        ),
     )
 
 
-def test_the_time_told_to_the_server_is_what_is_left_when_the_line_goes_out() -> None:
+def test_the_server_gets_the_time_that_remains_when_the_request_is_written() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         loop.before_connect = asyncio.Event()
         client = await world.connect_client()
@@ -219,18 +227,18 @@
         await loop.connect_pending.wait()
         started_at = time.monotonic()
         await asyncio.sleep(0.1)
-        held = time.monotonic() - started_at
+        delay = time.monotonic() - started_at
         loop.before_connect.set()
         _, server = await world.next_setup()
-        told = int((await server.read_line()).split(b"d=")[1].split(b",")[0]) / 1e3
-        assert told <= 0.2 - held
+        remaining = int((await server.read_line()).split(b"d=")[1].split(b",")[0]) / 1e3
+        assert remaining <= 0.2 - delay
 
-    run_scenario(scenario, World(limits=LATE))
+    run_scenario(scenario, World(limits=LONG_CONNECT_TIMEOUT))
 
 
-@pytest.mark.parametrize("profile", [{}, ONCE])
-def test_an_answer_that_is_there_as_the_time_runs_out_counts_once(profile: dict[str, Any]) -> None:
-    """The answer is in the socket and the clock is due in the same turn: the clock comes first."""
+@pytest.mark.parametrize("profile", [{}, SIDE_EFFECT])
+def test_an_answer_received_at_the_timeout_gives_one_final_answer(profile: dict[str, Any]) -> None:
+    """Answer and timeout come in one loop iteration, the timeout first, with the answer in the socket."""
 
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client = await world.connect_client()
@@ -238,7 +246,7 @@
         _, server = await world.next_setup()
         await server.read_line()
         (protocol,) = process.servers.values()
-        server.send(b"UP r-1\r\n")  # written at once: it waits in the balancer's socket, not read yet
+        server.send(b"UP r-1\r\n")  # sent at once: in the balancer's socket, unread
         protocol._timed_out()
         if profile:
             assert await client.read_to_end() == b"ERR\r\n"
@@ -255,7 +263,7 @@
 @pytest.mark.parametrize(
     "answer", [b"UP\r\n", b"UP \r\n", b"what\r\n", b"x" * 5000, b"ERR\r\nUP r-9\r\n", b"\xff\xfe\r\n"]
 )
-def test_a_spoilt_answer_ends_the_setup_as_one_that_may_have_run(answer: bytes) -> None:
+def test_after_a_malformed_answer_the_request_counts_as_possibly_run(answer: bytes) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client = await world.connect_client()
         client.send(open_line())
@@ -266,47 +274,47 @@
         await wait_until(lambda: not process.servers)
         assert sum(len(stand_in.connections) for stand_in in world.servers) == 1
 
-    run_scenario(scenario, World(profile=ONCE))
+    run_scenario(scenario, World(profile=SIDE_EFFECT))
 
 
-def test_a_second_answer_after_a_decline_opens_nothing() -> None:
+def test_a_second_answer_after_a_decline_opens_no_tunnel() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client = await world.connect_client()
         client.send(open_line())
-        at, server = await world.next_setup()
+        first_index, server = await world.next_setup()
         await server.read_line()
         server.send(b"BUSY\r\nUP r-9\r\n")
-        other, second = await world.next_setup()
-        assert other != at
+        second_index, second = await world.next_setup()
+        assert second_index != first_index
         await second.read_line()
         server.send(b"UP r-9\r\n")
         second.send(b"UP r-1\r\n")
         assert await client.read_line() == b"UP r-1\r\n"
 
-    run_scenario(scenario, World(profile=ONCE))
+    run_scenario(scenario, World(profile=SIDE_EFFECT))
 
 
-def test_an_end_of_the_server_before_the_line_was_written_proves_that_it_never_ran() -> None:
+def test_a_request_whose_server_ends_before_the_write_counts_as_not_run() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
-        held: list[Any] = []
+        connected: list[Any] = []
         submit = process.submit
 
-        def hold(event: Any) -> None:
-            (held.append if isinstance(event, ev.SetupConnected) else submit)(event)
+        def intercept(event: Any) -> None:
+            (connected.append if isinstance(event, ev.SetupConnected) else submit)(event)
 
-        process.submit = hold  # type: ignore[method-assign]
+        process.submit = intercept  # type: ignore[method-assign]
         client = await world.connect_client()
         client.send(open_line())
-        await wait_until(lambda: held)
+        await wait_until(lambda: connected)
         _, server = await world.next_setup()
         server.reset()
-        await wait_until(lambda: len(held) == 2)  # the next one is up: the first was known not to have run
+        await wait_until(lambda: len(connected) == 2)  # the second setup: the first is known not to have run
         process.submit = submit  # type: ignore[method-assign]
-        submit(held[0])  # that of the one that is gone changes nothing
-        submit(held[1])
+        submit(connected[0])  # the event of the setup that has ended changes nothing
+        submit(connected[1])
         _, second = await world.next_setup()
         assert (await second.read_line()).startswith(b"OPEN")
         second.send(b"UP r-1\r\n")
         assert await client.read_line() == b"UP r-1\r\n"
 
-    run_scenario(scenario, World(profile=ONCE, limits=LATE))
+    run_scenario(scenario, World(profile=SIDE_EFFECT, limits=LONG_CONNECT_TIMEOUT))
--- a/tests/crossing/test_shutdown.py
+++ b/tests/crossing/test_shutdown.py
@@ -1,4 +1,8 @@
-"""The end of a balancer and what crosses it: requests, answers, slow readers, signals."""
+"""Races around the stop of a balancer: requests, answers, slow clients and signals during it.
+
+Guards rule 1 for requests that arrive in any phase of the stop, and guards against tunnels that are not
+migrated, last lines lost by a reset, and signals that are lost or end the process at once.
+"""
 
 from __future__ import annotations
 
@@ -19,10 +23,10 @@
 from pointgw.net.core.reducer import STOP_ACCEPT_SECONDS
 from pointgw.net.run.balancer_process import BalancerProcess
 
-STALL = {"setupGoal": 100.0, "clientTimeout": 300.0}  # the shortest stop: 0.9 s
+SHORT_TIMEOUTS = {"setupGoal": 100.0, "clientTimeout": 300.0}  # milliseconds; the shortest stop: 0.9 s
 
 
-def test_a_loop_that_stands_still_over_the_whole_stop_still_moves_and_answers() -> None:
+def test_clients_are_migrated_and_answered_though_the_loop_stalls_for_the_whole_stop() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client, _ = await world.open_tunnel("one")
         loop.before_connect = asyncio.Event()
@@ -30,48 +34,50 @@
         waiting.send(open_line("two", 300))
         await loop.connect_pending.wait()
         process.stop()
-        time.sleep(process.reducer.stop_time_limit + 0.1)  # nothing of ours runs meanwhile
+        time.sleep(process.reducer.stop_time_limit + 0.1)  # blocks the event loop
         assert await client.read_to_end() == b"MOVE\r\n"
         assert await waiting.read_to_end() in (b"BUSY\r\n", b"ERR\r\n")
         await asyncio.wait_for(process.ended, 2)
 
-    run_scenario(scenario, World(profile=STALL))
+    run_scenario(scenario, World(profile=SHORT_TIMEOUTS))
 
 
-@pytest.mark.parametrize("crosses", [True, False])
-def test_one_that_rests_is_ended_in_order_and_what_crosses_that_is_not_sent_on(crosses: bool) -> None:
+@pytest.mark.parametrize("sends_request", [True, False])
+def test_an_idle_client_is_declined_and_a_request_that_crosses_that_is_not_forwarded(
+    sends_request: bool,
+) -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client = await world.connect_client()
         client.send(b"PING\r\n")
         assert await client.read_line() == b"PONG\r\n"
         process.stop()
-        if crosses:  # after our end, and before the client has read it
+        if sends_request:  # after the balancer closed its side, before the client has read that
             await wait_until(lambda: process.connections.lingering)
             client.send(open_line())
             await run_loop_iterations()
-        got = await client.read_to_end()  # guards against a reset that takes the answer with it
-        assert got == b"BUSY\r\n" and not world.server_received_data()
+        received = await client.read_to_end()  # guards the answer against a reset that discards it
+        assert received == b"BUSY\r\n" and not world.server_received_data()
         client.close()
         await asyncio.wait_for(process.ended, 5)
 
     run_scenario(scenario, World())
 
 
-def test_a_request_on_a_resting_connection_in_the_moment_of_its_end_is_answered() -> None:
-    """Its line is in the balancer's socket, and not read, as the resting ones are ended."""
+def test_a_request_on_an_idle_connection_as_it_is_closed_is_answered() -> None:
+    """The request is in the balancer's socket, unread, as the idle connections are closed."""
 
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client = await world.connect_client()
         await wait_until(lambda: process.connections.idle)
-        do = process._execute
+        execute = process._execute
 
-        def hold(effect: Any) -> None:
+        def intercept(effect: Any) -> None:
             if isinstance(effect, effects.CloseIdleClients) and not client.writer.is_closing():
                 client.sock.setblocking(False)
                 os.write(client.sock.fileno(), open_line())
-            do(effect)
+            execute(effect)
 
-        process._execute = hold  # type: ignore[method-assign]
+        process._execute = intercept  # type: ignore[method-assign]
         process.stop()
         assert await client.read_to_end() == b"BUSY\r\n"
         assert not world.server_received_data()
@@ -79,50 +85,50 @@
     run_scenario(scenario, World())
 
 
-def test_one_in_the_accept_backlog_as_the_balancer_leaves_is_answered() -> None:
+def test_a_request_in_the_accept_backlog_as_the_process_exits_is_answered() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
-        late: list[socket.socket] = []
-        do = process._execute
+        sockets: list[socket.socket] = []
+        execute = process._execute
 
-        def hold(effect: Any) -> None:
-            if isinstance(effect, effects.ExitProcess) and not late:
-                late.append(socket.create_connection(("127.0.0.1", world.listen_port)))
-                late[0].sendall(open_line())
-            do(effect)
+        def intercept(effect: Any) -> None:
+            if isinstance(effect, effects.ExitProcess) and not sockets:
+                sockets.append(socket.create_connection(("127.0.0.1", world.listen_port)))
+                sockets[0].sendall(open_line())
+            execute(effect)
 
-        process._execute = hold  # type: ignore[method-assign]
+        process._execute = intercept  # type: ignore[method-assign]
         process.stop()
-        await wait_until(lambda: late)
-        late[0].setblocking(False)
-        got = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(late[0], 100), 3)
-        assert got == b"BUSY\r\n"
-        late[0].close()
+        await wait_until(lambda: sockets)
+        sockets[0].setblocking(False)
+        received = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sockets[0], 100), 3)
+        assert received == b"BUSY\r\n"
+        sockets[0].close()
         await asyncio.wait_for(process.ended, 5)
 
     run_scenario(scenario, World())
 
 
-def test_a_slow_reader_gets_its_last_lines_and_the_move() -> None:
+def test_a_slow_client_gets_its_last_lines_and_the_move() -> None:
     lines = b"".join(b"%07d" % i + b"x" * 1000 + b"\r\n" for i in range(4000))
 
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client, server = await world.open_tunnel()
         client.pause_reading()
         server.send(lines)
-        (protocol,) = process.clients.values()
-        await wait_until(lambda: protocol.transport.get_write_buffer_size() > 0)
+        (client_connection,) = process.clients.values()
+        await wait_until(lambda: client_connection.transport.get_write_buffer_size() > 0)
         await run_loop_iterations(100)
         process.stop()
-        await wait_until(lambda: protocol in process.connections.lingering)
-        await asyncio.sleep(0.5)  # twice what it was given before
+        await wait_until(lambda: client_connection in process.connections.lingering)
+        await asyncio.sleep(0.5)  # guards against a limit of 0.25 s for a slow client
         client.resume_reading()
-        got = await client.read_to_end()
-        assert got.endswith(b"\r\nMOVE\r\n") and lines.startswith(got.removesuffix(b"MOVE\r\n"))
+        received = await client.read_to_end()
+        assert received.endswith(b"\r\nMOVE\r\n") and lines.startswith(received.removesuffix(b"MOVE\r\n"))
 
     run_scenario(scenario, World())
 
 
-def test_a_final_answer_reaches_a_client_that_has_sent_a_flood() -> None:
+def test_a_final_answer_reaches_a_client_that_has_sent_much_data() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client = await world.connect_client()
         client.send(open_line() + b"y" * 3_000_000)
@@ -131,21 +137,21 @@
     run_scenario(scenario, World())
 
 
-def test_one_that_is_moved_and_comes_back_within_the_stop_is_told_to_go_elsewhere() -> None:
+def test_a_migrated_client_that_returns_during_the_stop_is_declined() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client, _ = await world.open_tunnel("one")
         process.stop()
         assert await client.read_to_end() == b"MOVE\r\n"
         client.close()
-        again = await world.connect_client()
-        again.send(open_line("two", extra=",again=1"))
-        assert await again.read_to_end() == b"BUSY\r\n"
+        returning = await world.connect_client()
+        returning.send(open_line("two", extra=",again=1"))
+        assert await returning.read_to_end() == b"BUSY\r\n"
         assert len([c for stand_in in world.servers for c in stand_in.connections]) == 1
 
     run_scenario(scenario, World())
 
 
-def test_a_hung_setup_gets_one_answer_before_the_process_may_be_killed() -> None:
+def test_a_client_of_a_hanging_setup_is_answered_before_the_process_may_be_killed() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client = await world.connect_client()
         client.send(open_line())
@@ -160,10 +166,10 @@
     run_scenario(scenario, World())
 
 
-def test_signals_while_stopping_change_nothing() -> None:
+def test_signals_during_the_stop_have_no_effect() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client, server = await world.open_tunnel()
-        before = process.discovery
+        discovery = process.discovery
         os.kill(os.getpid(), signal.SIGTERM)
         await wait_until(lambda: process.stopping)
         os.kill(os.getpid(), signal.SIGTERM)
@@ -173,21 +179,21 @@
         assert await client.read_to_end() == b"MOVE\r\n"
         client.close()
         await asyncio.wait_for(process.ended, 5)
-        assert process.discovery is before
+        assert process.discovery is discovery
 
     run_scenario(scenario, World())
 
 
-def test_a_term_while_the_file_is_read_again_is_a_stop_after_it() -> None:
+def test_a_sigterm_during_a_reload_stops_the_balancer_after_it() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         client, _ = await world.open_tunnel()
-        again = process.read_settings
+        read_settings = process.read_settings
 
-        def read() -> Any:
+        def read_with_signal() -> Any:
             os.kill(os.getpid(), signal.SIGTERM)
-            return again()
+            return read_settings()
 
-        process.read_settings = read
+        process.read_settings = read_with_signal
         os.kill(os.getpid(), signal.SIGHUP)
         assert await client.read_to_end() == b"MOVE\r\n"
         client.close()
@@ -196,41 +202,41 @@
     run_scenario(scenario, World())
 
 
-class Slow:
-    """What stands beside a balancer and takes its time, at its start and at its end."""
+class SlowRunner:
+    """Replaces a cluster or recovery runner. Its start sends SIGTERM and then waits for `may_start`."""
 
     transport = None
 
     def __init__(self) -> None:
-        self.began, self.go, self.stopped = asyncio.Event(), asyncio.Event(), 0
+        self.started, self.may_start, self.stop_count = asyncio.Event(), asyncio.Event(), 0
 
     async def start(self, *_: Any) -> None:
-        self.began.set()
+        self.started.set()
         os.kill(os.getpid(), signal.SIGTERM)
-        await self.go.wait()
+        await self.may_start.wait()
 
     def stop(self) -> None:
-        self.stopped += 1
+        self.stop_count += 1
 
 
-def test_a_term_while_the_tier_or_recovery_begins_answers_all_and_ends_both() -> None:
-    tier, recovery = Slow(), Slow()
+def test_a_sigterm_while_cluster_and_recovery_start_answers_all_and_stops_both() -> None:
+    cluster, recovery = SlowRunner(), SlowRunner()
 
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
-        await tier.began.wait()
+        await cluster.started.wait()
         client, _ = await world.open_tunnel()
-        assert await client.read_to_end() == b"MOVE\r\n"  # nothing of the stop waits for them
+        assert await client.read_to_end() == b"MOVE\r\n"  # the stop does not wait for the two
         client.close()
         await asyncio.wait_for(asyncio.shield(process.ended), 5)
-        tier.go.set()
-        await recovery.began.wait()
-        recovery.go.set()
-        await wait_until(lambda: tier.stopped == recovery.stopped == 1)
+        cluster.may_start.set()
+        await recovery.started.wait()
+        recovery.may_start.set()
+        await wait_until(lambda: cluster.stop_count == recovery.stop_count == 1)
 
-    run_scenario(scenario, World(), cluster=tier, recovery=recovery)
+    run_scenario(scenario, World(), cluster=cluster, recovery=recovery)
 
 
-def test_new_connections_are_served_until_they_no_longer_come() -> None:
+def test_new_connections_are_served_for_a_while_after_the_stop_signal() -> None:
     async def scenario(process: BalancerProcess, world: World, loop: ControlledLoop) -> None:
         process.stop()
         client = await world.connect_client()
@@ -243,9 +249,9 @@
     run_scenario(scenario, World())
 
 
-# Signals to a real process, which itself tells where it is: it sends them to itself at the named step.
+# Signals at an exact step of a real process: code that runs in it makes it send them to itself there.
 
-TERM_AS_IT_LISTENS = """
+SIGTERM_ON_LISTEN = """
 import os, signal
 from pointgw.net.run.listener import Listener
 
@@ -257,56 +263,56 @@
 
 Listener.open = listen
 """
-HUP_AS_IT_LOADS = """
+SIGHUP_ON_IMPORT = """
 import builtins, os, signal, sys
 real, sent = builtins.__import__, []
 
-def load(name, *args, **named):
+def load(name, *args, **kwargs):
     if name == "pointgw.net.run.daemon" and not sent:
         sent.append(os.kill(os.getpid(), signal.SIGHUP))
-    return real(name, *args, **named)
+    return real(name, *args, **kwargs)
 
 builtins.__import__ = load
 """
-HUP_AFTER_THE_FILE_IS_READ = """
+SIGHUP_AFTER_READING_FILE = """
 import os, signal
 import pointgw.net.run.daemon as daemon
 read, sent = daemon.parse_start_up_file, []
 
-def start(data):
-    told = read(data)
+def read_with_signal(data):
+    settings = read(data)
     if not sent:
         os.replace(os.environ["GW_CONFIG"] + ".next", os.environ["GW_CONFIG"])
         sent.append(os.kill(os.getpid(), signal.SIGHUP))
-    return told
+    return settings
 
-daemon.parse_start_up_file = start
+daemon.parse_start_up_file = read_with_signal
 """
 
 
 Child = subprocess.Popen[bytes]
 
 
-async def start_daemon(world: World, tmp_path: Path, step: str, discovery: int | None = None) -> Child:
-    """The daemon as a process of its own, with a step that it takes before; its next file has another
-    discovery."""
+async def start_daemon(world: World, tmp_path: Path, patch: str, discovery: int | None = None) -> Child:
+    """Starts a balancer process that runs the code `patch` first. `discovery`: its port in the start-up file
+    that replaces the first one."""
     await world.start()
     path = tmp_path / "config.json"
     path.write_bytes(world.start_up_file())
     if discovery is not None:
-        told = world.start_up_file().replace(b':%d"' % world.discovery.port, b':%d"' % discovery)
-        (tmp_path / "config.json.next").write_bytes(told)
-    run = step + "\nimport sys\nfrom pointgw.__main__ import main\nsys.exit(main())\n"
+        next_file = world.start_up_file().replace(b':%d"' % world.discovery.port, b':%d"' % discovery)
+        (tmp_path / "config.json.next").write_bytes(next_file)
+    code = patch + "\nimport sys\nfrom pointgw.__main__ import main\nsys.exit(main())\n"
     env = os.environ | {"GW_CONFIG": str(path)}
     root = Path(__file__).resolve().parents[2]
-    return subprocess.Popen([sys.executable, "-c", run], env=env, cwd=root, stderr=subprocess.DEVNULL)
+    return subprocess.Popen([sys.executable, "-c", code], env=env, cwd=root, stderr=subprocess.DEVNULL)
 
 
-async def ended(child: subprocess.Popen[bytes]) -> int:
+async def wait_for_exit(child: subprocess.Popen[bytes]) -> int:
     return await asyncio.wait_for(asyncio.to_thread(child.wait), 10)
 
 
-def with_process(scenario: Any) -> None:
+def run_process_scenario(scenario: Any) -> None:
     async def main() -> None:
         world = World()
         children: list[Child] = []
@@ -323,31 +329,31 @@
     asyncio.run(main())
 
 
-def test_a_term_as_the_listener_stands_is_a_stop_and_no_death(tmp_path: Path) -> None:
+def test_a_sigterm_as_the_listener_opens_is_an_orderly_stop(tmp_path: Path) -> None:
     async def scenario(world: World, children: list[Child]) -> None:
-        children.append(await start_daemon(world, tmp_path, TERM_AS_IT_LISTENS))
-        assert await ended(children[0]) == 0
+        children.append(await start_daemon(world, tmp_path, SIGTERM_ON_LISTEN))
+        assert await wait_for_exit(children[0]) == 0
 
-    with_process(scenario)
+    run_process_scenario(scenario)
 
 
-def test_a_hup_while_the_program_loads_does_not_end_it(tmp_path: Path) -> None:
+def test_a_sighup_during_imports_does_not_end_the_process(tmp_path: Path) -> None:
     async def scenario(world: World, children: list[Child]) -> None:
-        children.append(await start_daemon(world, tmp_path, HUP_AS_IT_LOADS))
+        children.append(await start_daemon(world, tmp_path, SIGHUP_ON_IMPORT))
         await world.discovery.next_request()
         children[0].terminate()
-        assert await ended(children[0]) == 0
+        assert await wait_for_exit(children[0]) == 0
 
-    with_process(scenario)
+    run_process_scenario(scenario)
 
 
-def test_a_hup_after_the_file_was_read_is_not_lost(tmp_path: Path) -> None:
+def test_a_sighup_just_after_the_file_was_read_is_not_lost(tmp_path: Path) -> None:
     async def scenario(world: World, children: list[Child]) -> None:
-        other = type(world.discovery)()
-        await other.start()
-        children.append(await start_daemon(world, tmp_path, HUP_AFTER_THE_FILE_IS_READ, other.port))
-        call = await other.next_request()  # the one that the new file names
-        assert b"from=" not in call.head
-        other.stop()
-
-    with_process(scenario)
+        new_discovery = type(world.discovery)()
+        await new_discovery.start()
+        children.append(await start_daemon(world, tmp_path, SIGHUP_AFTER_READING_FILE, new_discovery.port))
+        request = await new_discovery.next_request()  # named in the new file
+        assert b"from=" not in request.head
+        new_discovery.stop()
+
+    run_process_scenario(scenario)
