--- a/tests/crossing/test_accept.py
+++ b/tests/crossing/test_accept.py
@@ -44,7 +44,7 @@
     async def scenario(daemon: Daemon) -> None:
         pending = await requests_in_the_backlog(daemon)
         calls, _ = daemon.faults.counts(Call.ACCEPT)
-        # An error of a single connection does not last.
+        # An error of a single connection concerns that one alone, never all of them.
         lacks_resources = error_number in (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
         if once or not lacks_resources:
             daemon.faults.fail(Call.ACCEPT, error_number, nth=calls + 1)
