--- a/Makefile
+++ b/Makefile
@@ -9,7 +9,7 @@
 dev: build
 	$(PYTHON) -m pip -q install -e '.[dev]'
 
-# Fleets of processes first, with the machine to themselves; the others mostly wait, so four at a time.
+# Fleets of processes run first and alone on the machine; the other tests mostly wait, so four run at a time.
 test: dev
 	$(PYTHON) -m pytest -q tests/fleet
 	$(PYTHON) -m pytest -q -n 4 --dist loadfile --ignore tests/fleet
