--- a/pointgw/cluster/node.py
+++ b/pointgw/cluster/node.py
@@ -203,7 +203,7 @@
         """Estimates of all zones from the observations of all members."""
         return self.observations.estimate_zones(now)
 
-    def map_mismatch(self) -> bool:
+    def has_map_mismatch(self) -> bool:
         """Whether members with another region map are more than half of the live peers. If so, traffic stays
         in its own zone."""
         live_peers = len(self.members.live_members()) - 1
@@ -214,7 +214,7 @@
         self.observations.expire(now)
         zones = self.zone_estimates(now)
         self._propose_closed_zones(zones, now)
-        if self.map_mismatch():
+        if self.has_map_mismatch():
             target = plan.local_plan(self.settings.zone_count, len(self.settings.profile_costs))
         else:
             target = plan.compute_plan(
--- a/pointgw/net/core/effects.py
+++ b/pointgw/net/core/effects.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from pointgw.net.wire.lines import Answer, OpenRequest
-from pointgw.net.wire.server_list import Names
+from pointgw.net.wire.server_list import DeploymentNames
 
 Address = tuple[str, int]
 
@@ -96,7 +96,7 @@
     """Switches to another discovery; a request in progress is abandoned."""
 
     address: Address
-    names: Names
+    names: DeploymentNames
 
 
 @dataclass(frozen=True, slots=True)
--- a/pointgw/net/core/events.py
+++ b/pointgw/net/core/events.py
@@ -6,7 +6,7 @@
 
 from pointgw.interface import Ending, Report
 from pointgw.net.wire.lines import EndLine, Load, OpenRequest
-from pointgw.net.wire.server_list import Names, ServerList
+from pointgw.net.wire.server_list import DeploymentNames, ServerList
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
     """The start-up file was read again, with these settings of discovery."""
 
     discovery: tuple[str, int]
-    names: Names
+    names: DeploymentNames
 
 
 @dataclass(frozen=True, slots=True)
--- a/pointgw/net/core/guard.py
+++ b/pointgw/net/core/guard.py
@@ -14,7 +14,7 @@
 from pointgw.interface import Ending, Profile, ServerEntry
 from pointgw.net.invariant import check_invariant
 
-NEVER_RAN: frozenset[Ending] = frozenset(("full", "no-connection", "moot"))
+NOT_EXECUTED_ENDINGS: frozenset[Ending] = frozenset(("full", "no-connection", "moot"))
 
 
 class Violation(Enum):
@@ -65,7 +65,7 @@
 
     # Events.
 
-    def update_servers(self, entries: Iterable[ServerEntry], is_full: bool) -> None:
+    def update_servers(self, entries: Iterable[ServerEntry], is_complete: bool) -> None:
         """Records a full list or changes to it."""
         listed = set()
         for entry in entries:
@@ -75,7 +75,7 @@
                 self.excluded.discard(entry.server)
             elif entry.state == "leaving" or not self.only_draining_excludes:
                 self.excluded.add(entry.server)
-        if is_full and not self.only_draining_excludes:
+        if is_complete and not self.only_draining_excludes:
             self.excluded.update(self.locations.keys() - listed)
 
     def request_arrived(self, request: int, profile: Profile, deadline: float) -> None:
@@ -96,7 +96,7 @@
         guarded = self.requests.get(request)
         if guarded is not None and attempt in guarded.attempts:
             sent = guarded.attempts[attempt]
-            sent.in_progress, sent.may_have_run = False, ending not in NEVER_RAN
+            sent.in_progress, sent.may_have_run = False, ending not in NOT_EXECUTED_ENDINGS
 
     def forget(self, request: int) -> None:
         self.requests.pop(request, None)
--- a/pointgw/net/core/reducer.py
+++ b/pointgw/net/core/reducer.py
@@ -389,14 +389,14 @@
             self.addresses[name] = (host, port)
         entries: Iterable[ServerEntry] = received.servers
         if self.membership is not None and not cached:
-            entries = self.membership.apply_list(entries, received.addresses, received.is_full, self.now)
+            entries = self.membership.apply_list(entries, received.addresses, received.is_complete, self.now)
         before = self.balancer.active_servers
         entries = self.start_times.translate(entries, self.now, wall_clock, not cached)
         entries = [
             entry if entry.server in self.addresses else entry._replace(state="leaving") for entry in entries
         ]
-        self.guard.update_servers(entries, received.is_full)
-        self.balancer.update_servers(entries, received.is_full, cached, self.now)
+        self.guard.update_servers(entries, received.is_complete)
+        self.balancer.update_servers(entries, received.is_complete, cached, self.now)
         if before is not self.balancer.active_servers:
             self.effects.extend(effects.ForgetServer(server.name) for server in before if not server.active)
 
--- a/pointgw/net/run/client_connections.py
+++ b/pointgw/net/run/client_connections.py
@@ -37,10 +37,10 @@
         self,
         address: tuple[str, int],
         factory: Callable[[], ClientConnection],
-        make_room: Callable[[], object],
+        free_descriptor: Callable[[], object],
     ) -> None:
         """Raises OSError where the address can't be bound."""
-        self.listener = Listener(self.loop, factory, make_room)
+        self.listener = Listener(self.loop, factory, free_descriptor)
         self.listener.open(address)
 
     def stop_listening(self, force: bool = False) -> bool:
--- a/pointgw/net/run/cluster.py
+++ b/pointgw/net/run/cluster.py
@@ -143,7 +143,7 @@
         all_local = all(share[self.settings.zone] == 1.0 for share in own_shares)
         balancer.zone_shares = {} if all_local else dict(zip(balancer.profiles, own_shares, strict=True))
         agreed = node.agreement.agreed_vote
-        to_log = (len(node.members.live_members()), agreed, node.map_mismatch())
+        to_log = (len(node.members.live_members()), agreed, node.has_map_mismatch())
         if to_log != self.last_logged:
             self.last_logged = to_log
             _log.info("tier", extra={"fields": self._status_fields(now)})
--- a/pointgw/net/run/discovery.py
+++ b/pointgw/net/run/discovery.py
@@ -25,7 +25,9 @@
 
     __slots__ = ("address", "failing", "link", "names", "process", "request", "response", "task", "timer")
 
-    def __init__(self, process: BalancerProcess, address: tuple[str, int], names: server_list.Names) -> None:
+    def __init__(
+        self, process: BalancerProcess, address: tuple[str, int], names: server_list.DeploymentNames
+    ) -> None:
         self.process, self.address, self.names = process, address, names
         self.request: RequestList | None = None
         self.link: Link | None = None  # the current connection; data on others is ignored
--- a/pointgw/net/wire/server_list.py
+++ b/pointgw/net/wire/server_list.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class DeploymentNames:
     """The deployment's zones and machine kinds, in the order of the settings."""
 
     zones: tuple[str, ...]
@@ -36,13 +36,13 @@
     """A full list or changes to it."""
 
     version: int
-    is_full: bool
+    is_complete: bool
     servers: tuple[ServerEntry, ...]
     addresses: tuple[tuple[str, str, int], ...]  # server name, host, port
     invalid_entries: int = 0  # entries left out or read in part
 
 
-def parse_server_list(value: Any, names: Names) -> ServerList:
+def parse_server_list(value: Any, names: DeploymentNames) -> ServerList:
     """Reads the list in a decoded JSON value. Raises Malformed if there is none.
 
     An invalid entry does not hide the others: guards rule 3, as every entry of an answer counts as known.
@@ -53,7 +53,7 @@
     addresses: list[tuple[str, str, int]] = []
     invalid_entries = 0
     try:
-        version, is_full, entries = int(value["index"]), bool(value["snapshot"]), iter(value["endpoints"])
+        version, is_complete, entries = int(value["index"]), bool(value["snapshot"]), iter(value["endpoints"])
     except (KeyError, TypeError, ValueError, OverflowError) as error:
         raise Malformed(f"expected a list of servers: {type(error).__name__} {error}") from None
     for entry in entries:
@@ -66,10 +66,10 @@
         if address is not None:
             addresses.append((parsed.server, *address))
         invalid_entries += not is_valid or (address is None and bool(entry.get("address")))
-    return ServerList(version, is_full, tuple(servers), tuple(addresses), invalid_entries)
+    return ServerList(version, is_complete, tuple(servers), tuple(addresses), invalid_entries)
 
 
-def _parse_entry(entry: dict[str, Any], names: Names) -> tuple[ServerEntry, bool]:
+def _parse_entry(entry: dict[str, Any], names: DeploymentNames) -> tuple[ServerEntry, bool]:
     """Reads an entry; tells whether all of it was valid."""
     started, weight = (
         _parse_non_negative(entry.get("since_ms") or 0),
@@ -109,7 +109,7 @@
     return names.index(name) if isinstance(name, str) and name in names else -1
 
 
-def parse_server_list_body(data: bytes, names: Names) -> ServerList:
+def parse_server_list_body(data: bytes, names: DeploymentNames) -> ServerList:
     """Reads the list in the body of an HTTP response. Raises Malformed."""
     try:
         return parse_server_list(json.loads(data), names)
--- a/pointgw/net/wire/start_up.py
+++ b/pointgw/net/wire/start_up.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from pointgw.interface import Site
-from pointgw.net.wire.server_list import Names, ServerList, parse_server_list
+from pointgw.net.wire.server_list import DeploymentNames, ServerList, parse_server_list
 from pointgw.site import Fields, Malformed, parse_site, read_seconds
 
 
@@ -20,7 +20,7 @@
     discovery: tuple[str, int]
     seed: int
     site: Site
-    names: Names
+    names: DeploymentNames
     profiles: tuple[str, ...]
     tenants: tuple[str, ...]
     connect_timeout: float
@@ -58,7 +58,7 @@
     try:
         start = json.loads(data)
         settings = start["settings"]
-        names = Names(_names(settings.get("zones")), _names(settings.get("kinds")))
+        names = DeploymentNames(_names(settings.get("zones")), _names(settings.get("kinds")))
         fields = flatten(settings)
         return StartUpSettings(
             name=str(start["name"]),
--- a/pointgw/recovery/leases.py
+++ b/pointgw/recovery/leases.py
@@ -86,11 +86,11 @@
         own = RESERVED_SHARE if now < self.granted_until else 1.0
         return own + (1.0 - RESERVED_SHARE) * sum(now < lease.expires_at for lease in self.by_lessor.values())
 
-    def requests_due(self, needs: bool, idle: bool, now: float) -> list[LeaseRequest]:
-        """Requests to be sent now. `needs`: tunnels wait that cold servers could take; `idle`: no tunnel
-        waits, nor was one declined recently."""
-        self.is_idle = idle
-        if not needs or now < self.last_request_at + REQUEST_INTERVAL * self.lease_seconds:
+    def requests_due(self, can_use_leases: bool, is_idle: bool, now: float) -> list[LeaseRequest]:
+        """Requests to be sent now. `can_use_leases`: tunnels wait that cold servers could take; `is_idle`: no
+        tunnel waits, nor was one declined recently."""
+        self.is_idle = is_idle
+        if not can_use_leases or now < self.last_request_at + REQUEST_INTERVAL * self.lease_seconds:
             return []
         self.last_request_at = now
         expiring = [
@@ -117,11 +117,11 @@
 
     def receive_request(self, lessee: int, now: float) -> bool:
         """A request from another balancer; True if it is granted the own share."""
-        is_eligible = (self.own_index - lessee) % self.balancer_count in range(
+        may_borrow = (self.own_index - lessee) % self.balancer_count in range(
             1, lessor_count(self.balancer_count) + 1
         )
         is_free = now >= self.granted_until or lessee == self.lessee
-        if not (is_eligible and is_free and self.is_idle):
+        if not (may_borrow and is_free and self.is_idle):
             return False
         self.lessee, self.granted_until = lessee, now + (1.0 + LESSOR_MARGIN) * self.lease_seconds
         self.granted_count += 1
--- a/pointgw/recovery/transport.py
+++ b/pointgw/recovery/transport.py
@@ -62,9 +62,9 @@
         elif message.kind == messages.GRANT and leases.receive_grant(message.sender, message.request_id, now):
             self.on_change(now)
 
-    def send_requests(self, needs: bool, idle: bool) -> None:
+    def send_requests(self, can_use_leases: bool, is_idle: bool) -> None:
         """Sends the requests that are due (see `Leases.requests_due`)."""
-        for lessor, request_id in self.leases.requests_due(needs, idle, self.loop.time()):
+        for lessor, request_id in self.leases.requests_due(can_use_leases, is_idle, self.loop.time()):
             self._send(messages.REQUEST, lessor, request_id)
 
     def _send(self, kind: messages.MessageKind, receiver: int, request_id: int) -> None:
--- a/pointgw/state/restore.py
+++ b/pointgw/state/restore.py
@@ -37,7 +37,7 @@
         self,
         entries: Iterable[ServerEntry],
         addresses: Iterable[tuple[str, str, int]],
-        is_full: bool,
+        is_complete: bool,
         now: float,
     ) -> list[ServerEntry]:
         """Applies a full list or an update of discovery; returns the entries that the policy is to use.
@@ -73,7 +73,7 @@
             self._put(record, known, now)
             accepted.append(entry)
             listed.add(entry.server)
-        if is_full:
+        if is_complete:
             for name, record in list(self.records.items()):
                 if name not in listed and not record.is_inactive:
                     left = msgspec.structs.replace(record, state="left", confirmed_at=now)
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -19,7 +19,7 @@
     Reducer,
 )
 from pointgw.net.wire.lines import Decline, EndLine, Failure, Load, OpenRequest
-from pointgw.net.wire.server_list import Names, ServerList
+from pointgw.net.wire.server_list import DeploymentNames, ServerList
 from pointgw.net.wire.start_up import StartUpSettings
 
 
@@ -30,7 +30,7 @@
     settings = make_site(**({"may_probe": False, "list_is_polled": True} | changes))
     start = StartUpSettings(
         "n0", ("127.0.0.1", 1), ("127.0.0.1", 2), seed, settings,
-        Names(("a",), ("k",)), ("chat",), ("acme",), 0.12, 256, known,
+        DeploymentNames(("a",), ("k",)), ("chat",), ("acme",), 0.12, 256, known,
     )  # fmt: skip
     reducer = Reducer(start, 100.0)
     reducer.pop_effects()
@@ -170,7 +170,7 @@
 def test_a_reload_requests_the_full_list_from_another_discovery() -> None:
     # Guards against a list that is never updated again, as another discovery numbers its versions anew.
     reducer = make_reducer()
-    names = Names(("a",), ("k",))
+    names = DeploymentNames(("a",), ("k",))
     # Same address: the watch continues.
     assert reducer.dispatch(ev.SettingsReloaded(("127.0.0.1", 2), names), 100.5) == []
     other = ("127.0.0.1", 3)
@@ -323,7 +323,7 @@
     known = ServerList(7, True, lines, tuple((f"s{i}", "127.0.0.9", 9000 + i) for i in range(2)))
     start = StartUpSettings(
         "n0", ("127.0.0.1", 1), ("127.0.0.1", 2), 5, make_site(may_probe=False, list_is_polled=False),
-        Names(("a",), ("k",)), ("chat",), ("acme",), 0.12, 256, known, drain_grace=0.4,
+        DeploymentNames(("a",), ("k",)), ("chat",), ("acme",), 0.12, 256, known, drain_grace=0.4,
     )  # fmt: skip
     reducer = Reducer(start, 100.0)
     assert effects.RequestList(7, 0.0) in reducer.pop_effects()
@@ -347,7 +347,7 @@
     for now in (100.1, 101.0, 103.0, 107.0, 113.0):
         reducer.dispatch(ev.ListRequestFailed(), now)
         reducer.list_requested = False
-    reducer.dispatch(ev.SettingsReloaded(("127.0.0.1", 3), Names(("a",), ("k",))), 120.0)
+    reducer.dispatch(ev.SettingsReloaded(("127.0.0.1", 3), DeploymentNames(("a",), ("k",))), 120.0)
     now, requests = 120.0, 0
     while now < 124.0:
         (request,) = [
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,7 +10,7 @@
     MAX_BODY_BYTES,
     MAX_HEAD_BYTES,
     UNKNOWN_CELL,
-    Names,
+    DeploymentNames,
     Response,
     encode_list_request,
     parse_server_list_body,
@@ -19,7 +19,7 @@
 from pointgw.site import Malformed
 
 OPEN = b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,again=1"
-NAMES = Names(("a", "b"), ("m1", "m2"))
+NAMES = DeploymentNames(("a", "b"), ("m1", "m2"))
 ENTRY = {
     "name": "s-1", "address": "127.1.0.18:8443", "zone": "b", "type": "m2", "group": 3,
     "status": "draining", "weight": 1.5, "since_ms": 2500,
@@ -122,7 +122,7 @@
     server_list = parse_server_list_body(
         json.dumps({"index": 43, "snapshot": False, "endpoints": [ENTRY]}).encode(), NAMES
     )
-    assert (server_list.version, server_list.is_full, server_list.addresses) == (
+    assert (server_list.version, server_list.is_complete, server_list.addresses) == (
         43,
         False,
         (("s-1", "127.1.0.18", 8443),),
@@ -197,7 +197,7 @@
 ) -> None:
     valid = '{"name":"t","status":"draining","address":"127.0.0.1:7"}'
     server_list = parse_server_list_body(
-        f'{{"index":1,"snapshot":true,"endpoints":[{entry},{valid}]}}'.encode(), Names((), ())
+        f'{{"index":1,"snapshot":true,"endpoints":[{entry},{valid}]}}'.encode(), DeploymentNames((), ())
     )
     assert server_list.invalid_entries == 1 and server_list.addresses == (("t", "127.0.0.1", 7),)
     assert server_list.servers[-1].state == "leaving" and server_list.servers[-1].server == "t"
