--- a/pointgw/policy.py
+++ b/pointgw/policy.py
@@ -19,7 +19,7 @@
 - `_adapt_threshold` moves c so that about half of the first offers are accepted (SR_dyn).
 - A tunnel without a ready server is queued, and declined or closed with error before its deadline (rule 1).
 
-What decides beside this:
+Other decisions:
 
 - Load estimates (`_update_load_estimate`): the reported load, and what all balancers may have added since.
 - Slow start (`_has_slow_start_budget`): rule 4 limits the rate at which all balancers together fill a server
@@ -94,7 +94,8 @@
 UNSTABLE_PAUSE_FACTOR = 1.5  # pause before an unstable server is ready again, in its longest uptimes
 RESTART_LOAD_RATIO = 0.5  # share of its former figure below which a server that returns counts as restarted
 MIN_BROKEN_TUNNELS = 2  # own tunnels broken by a server at one moment that suggest a restart
-# Servers without a process from which on more may be lost; power was lost if no list has confirmed them.
+# Servers found without a process from which on others may have lost theirs unnoticed. Power counts as lost
+# if that many of them were not confirmed by a list since this balancer started.
 MIN_PROCESS_LOSSES = 2
 QUICK_MESSAGE_DELAY = 0.1  # attempt timeouts; message delay that shows a server has caught up
 SLOW_MESSAGE_DELAY = 0.5  # attempt timeouts; message delay that shows a server piles up work
@@ -105,7 +106,7 @@
 
 
 def _hash_name(name: str) -> int:
-    """Gives a 64-bit hash of a name that is the same at every balancer."""
+    """Returns a 64-bit hash of a name that is the same at every balancer."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
@@ -253,6 +254,7 @@
         self.may_cancel, self.max_retry_after = site.may_cancel, site.max_retry_after
         # The shortest of the profiles; also the unit of most pauses and intervals.
         self.attempt_timeout = max(0.01, min(p.attempt_timeout for p in site.profiles))
+        # Seconds until the queue is served again.
         self.timer_interval = max(site.timer_resolution, self.attempt_timeout / 4)
         # Time kept to answer before the client's timeout.
         self.answer_margin = max(2 * site.timer_resolution, 0.01 * self.attempt_timeout)
@@ -271,7 +273,8 @@
             "connections" not in site.report_fields,
         )
         self.c, self.c_initialised, self.offers, self.accepted_offers = 1.0, False, 0, 0
-        # Highest busy figures offered to in the current and in the previous period.
+        # Start of the window of offers and of the period for the peak; highest busy figures that tunnels
+        # were offered to in this period and in the one before.
         self.window_started_at, self.peak_started_at, self.peak_busy, self.previous_peak_busy = (
             now,
             now,
@@ -301,7 +304,7 @@
         self.may_probe, self.probe_price = site.may_probe, site.probe_price
         self.queue: dict[Tunnel, None] = {}  # tunnels that are QUEUED or PROBING
         self.zone_shares: dict[Profile, tuple[float, ...]] = {}  # the cluster's plan: shares of the zones
-        self.server_subset: list[Server] | None = None  # the part of `active_servers` in use; None: all
+        self.server_subset: list[Server] | None = None  # the active servers that are used; None: all
         self.subset_offset = self.random()  # own offset among every n-th server, as a fraction of n
         self.active_servers: list[Server] = []  # the active ones of `servers`, ordered by hash
         self.probe_credit, self.setups_in_progress = 0.0, 0  # credit left for probes
@@ -351,7 +354,7 @@
             was_active, server.listed = server.active, entry.state != "left"
             server.active = entry.state == "active" or (was_active and self._stays_active(server))
             changed |= server.active != was_active
-        # An update confirms also the servers that it does not name.
+        # A current update also confirms the servers that it does not name: they have not changed.
         for server in self.servers.values() if not is_cached else ():
             self.confirm_process(server, True)
         for server in [
@@ -393,8 +396,8 @@
     def confirm_process(server: Server, by_list: bool = False) -> None:
         """Takes the server's process to be the one known before this balancer started.
 
-        `by_list`: a current list tells so. Else a snapshot of the same boot does, which is no longer believed
-        once several unconfirmed servers are found without a process (`_record_failure`).
+        `by_list`: a current list shows that. Otherwise a snapshot of the same boot does, which is no longer
+        believed once several unconfirmed servers are found without a process (`_record_failure`).
         """
         if server.unconfirmed:
             server.unconfirmed, server.start_inferred, server.previous_warm_at = not by_list, False, 0.0
@@ -409,11 +412,11 @@
         """
         server.reset()
         server.unconfirmed, server.warm_at = False, started_at + self.warm_up_window if started_at else 0.0
-        # A random part of a tunnel: not all balancers may have their first tunnel due at the same moment.
+        # A random fraction of a tunnel: the balancers' first tunnels must not all be due at the same moment.
         server.slow_start_budget, server.budget_updated_at = self.uniform(0.0, 1.0), now
         server.start_listed = by_list and started_at > 0.0
         server.is_staggered = server.start_listed and self.balancer_index >= 0
-        # By the own index and the server's age: the same whenever this balancer itself started.
+        # Set by the own index and the server's start alone: the same whenever this balancer itself started.
         if server.is_staggered:
             server.slow_start_budget, server.budget_updated_at = (
                 (self.balancer_index * GOLDEN_RATIO_CONJUGATE + server.name_hash / MAX_HASH) % 1.0,
@@ -444,9 +447,9 @@
 
     @staticmethod
     def mark_stale(server: Server) -> None:
-        """Ejects a remembered server that may be gone until it answers or is listed.
+        """Ejects a remembered server that may be gone; the ejection ends when it answers or is listed.
 
-        Guards tunnels against an old snapshot. If no other server is ready it is tried with one setup at a
+        Guards tunnels against an old snapshot. If no other server is ready, it is tried with one setup at a
         time.
         """
         server.stale, server.ejected_until = True, inf
@@ -498,9 +501,9 @@
         ]
 
     def _group_load_limit(self, tunnel: Tunnel, server: Server) -> float:
-        """Gives the load limit of a server for tunnels of a group while the fleet is being renewed.
+        """Returns the load limit of a server for tunnels of a group while the fleet is being renewed.
 
-        It is the migration target at the servers that the group prefers or is at, and falls with the distance
+        It is MAX_MIGRATION_TARGET at the servers that the group prefers or is at, and falls with the distance
         from these. Guards groups against being scattered: while all old servers are full, the few with
         capacity would get a tunnel of each group. The cost: tunnels wait although a distant server has
         capacity.
@@ -536,12 +539,12 @@
         )
 
     def _max_peer_load(self, now: float) -> float:
-        """Gives the load that the other balancers may add to a ready server; a random part of it is assumed.
+        """Returns the load that others may add to a ready server; a random part of it is assumed.
 
-        It holds if as many tunnels are queued at them as here, and is at most MAX_UNREPORTED_LOAD; while the
-        fleet is being renewed, also if as many arrive there until reports show it, with `load_limit` as the
-        most. Guards against many balancers that send a tunnel each for the same capacity: some take it as
-        used.
+        It assumes that as many tunnels are queued at each of them as here, and is at most
+        MAX_UNREPORTED_LOAD. While the fleet is being renewed, it also assumes that as many arrive there as
+        here until reports show them, and is at most `load_limit`. Guards against many balancers that send a
+        tunnel each for the same capacity: some of them count it as used.
         """
         if self.balancer_count <= len(self.active_servers):
             return 0.0
@@ -555,7 +558,7 @@
         return min(self.load_limit, peer_placements * load_per_placement)
 
     def _load_per_peer_placement(self, now: float) -> float:
-        """Gives the load that a ready server gets if each other balancer places one tunnel."""
+        """Returns the load that a ready server gets if each other balancer places one tunnel."""
         ready_count = sum(
             server.estimated_load < self.load_limit and server.ejected_until <= now
             for server in self.active_servers
@@ -597,8 +600,8 @@
         """Rule 4: whether a server is warm or this balancer's budget for it holds a whole tunnel.
 
         Brings the budget up to date. Unused budget is kept only for a part of the overload window; where it
-        takes longer than that to save a whole tunnel, that tunnel expires after this time. Guards against
-        many balancers that each have saved a tunnel and send it at the same moment.
+        takes longer than that to save a whole tunnel, the tunnel lapses after it was kept for that part.
+        Guards against many balancers that each have saved a tunnel and send it at the same moment.
         """
         if server.warm_at <= now:
             return True
@@ -635,7 +638,7 @@
         return server.slow_start_budget >= 1.0
 
     def _available_capacity(self, server: Server, at: float) -> float:
-        """Gives the share of its capacity that a server has for certain at a time."""
+        """Returns the share of its capacity that a server has for certain at a time."""
         age = at - (server.warm_at - self.warm_up_window)
         return min(
             1.0, self.slow_start_share + (1 - self.slow_start_share) * max(0.0, age) / self.warm_up_window
@@ -718,7 +721,7 @@
 
     # Offers and the threshold.
     def _estimated_busy(self, server: Server, default: float) -> float:
-        """Gives the busy figure (`default` if not reported) with own placements since the report."""
+        """Returns the busy figure (`default` if not reported) with own placements since the report."""
         return (default if server.reported_busy is None else server.reported_busy) + len(
             server.unreported_placements
         ) * self.busy_per_tunnel
@@ -760,8 +763,8 @@
     def _concentrates_groups(self) -> bool:
         """Whether groups go to their preferred servers rather than to servers of the zone.
 
-        So where the fleet is loaded, or own tunnels hardly tell where a group is. Guards against a mass
-        arrival that scatters groups over a large fleet.
+        They do where the fleet is loaded, or where own tunnels are so few that they hardly show where a group
+        is. Guards against a mass arrival that scatters groups over a large fleet.
         """
         return (
             self.balancer_count > len(self.active_servers)
@@ -802,7 +805,7 @@
 
     @staticmethod
     def _preferred_servers(tunnel: Tunnel, ready: list[Server]) -> list[Server]:
-        """Gives the first ready servers in the group's own order.
+        """Returns the first ready servers in the group's own order.
 
         The order is the same at all balancers, though none sees the others' tunnels; as these servers fill,
         the next ones follow.
@@ -813,7 +816,7 @@
 
     @staticmethod
     def _affinity_distance(tunnel: Tunnel, server: Server) -> int:
-        """Gives the place of a server in the order of the tunnel's group: a 64-bit hash of both."""
+        """Returns the place of a server in the order of the tunnel's group: a 64-bit hash of both."""
         return (tunnel.group_hash ^ server.name_hash) * HASH_MULTIPLIER & MAX_HASH
 
     def _offer(self, tunnel: Tunnel, now: float) -> None:
@@ -860,8 +863,9 @@
         self._send_setup(tunnel, chosen, now)
 
     def _earn_probe_credit(self, credit: float) -> None:
-        """Adds credit of own tunnels for probes, up to two rounds of probes and what the open tunnels pay.
+        """Adds credit of own tunnels for probes.
 
+        At most the price of two rounds of probes and what the open tunnels pay is kept.
         Guards against many balancers that each probe more often than their tunnels pay for.
         """
         max_credit = 2 * max(RESERVED_PROBES, len(self.active_servers)) * self.probe_price
@@ -985,7 +989,7 @@
         (self._enqueue if self._is_worth_queueing(tunnel, now) else self._answer_unopened)(tunnel, now)
 
     def _assign_planned_zone(self, tunnel: Tunnel) -> bool:
-        """Assigns a zone by the shares of the cluster's plan; gives whether the tunnel is served.
+        """Assigns a zone by the shares of the cluster's plan; returns whether the tunnel is served.
 
         The zone is the same at each attempt of a client. The part by which the shares fall short of 1 exceeds
         what the zones can bear: such a tunnel is answered unopened here and not passed on.
@@ -1034,7 +1038,7 @@
         self.host.setup(tunnel, server, min(tunnel.profile.attempt_timeout, tunnel.deadline - now))
 
     def _find_refusal_reason(self, tunnel: Tunnel, now: float) -> str:
-        """Names for the log the first check that leaves no server to a tunnel."""
+        """Returns, for the log, the first check that leaves no server for a tunnel."""
         eligible = [server for server in self.active_servers if self._is_eligible(tunnel, server, now)]
         not_ejected = [
             server for server in eligible if max(server.ejected_until, server.unstable_until) <= now
@@ -1199,7 +1203,7 @@
 
     @staticmethod
     def _mean_tunnel_load(tunnels: Iterable[Tunnel]) -> float:
-        """Gives the mean of the known loads of tunnels, 1.0 if none is known."""
+        """Returns the mean of the known loads of tunnels, 1.0 if none is known."""
         known = [tunnel.load for tunnel in tunnels if tunnel.load]
         return sum(known) / len(known) if known else 1.0
 
@@ -1230,7 +1234,7 @@
     def record_silence(self, tunnel: Tunnel, silence: float, now: float) -> None:
         """Records how long a tunnel's server has been silent; a tunnel of one that is gone is migrated.
 
-        Guards against a machine that vanishes, as its connections stay open.
+        Guards against a machine that vanishes: its connections stay open but bring nothing.
         """
         if tunnel.state is State.OPEN and silence >= min(
             SILENCE_TIMEOUT * self.attempt_timeout, MAX_SILENCE_SECONDS
@@ -1279,7 +1283,7 @@
         return not seen and now - first_loss < self.warm_up_window
 
     def _mark_process_missing(self, server: Server, missing_since: float) -> None:
-        """Records that a server has no process; until it answers it may get what a starting one may."""
+        """Records that a server has no process; until it answers it has the budget of a starting one."""
         if not server.process_missing:
             server.process_missing = True
             server.longest_uptime = (
@@ -1296,18 +1300,18 @@
     def _record_return(self, server: Server, busy: float | None, load: float, now: float) -> None:
         """Decides whether a server that had no process, or broke own tunnels at one moment, has restarted.
 
-        Applies rule 4 where no list tells. The process is the former one, which was unreachable or full, if
-        its busy figure is over half of its own former one and of the mean, and either own tunnels are still
-        open or its load is more than a restarted one could have by now; but not if it both had no process and
-        broke tunnels. Otherwise it has started now: its former report may be old, and other balancers may
-        fill it at once. The cost: a server that emptied meanwhile counts as cold.
+        Applies rule 4 where no list states a start. The process is the former one, which was unreachable or
+        full, if its busy figure is over half of its own former one and of the mean, and either own tunnels
+        are still open or its load is more than a restarted one could have by now; but not if it both had no
+        process and broke tunnels. Otherwise it has started now: its former report may be old, and other
+        balancers may fill it at once. The cost: a server that emptied meanwhile counts as cold.
         """
         lost_at, previous_busy = (
             max(server.refused_at, server.broken_at),
             max(self.mean_busy, server.reported_busy or 0.0),
         )
         warm_at = server.previous_warm_at if server.process_missing else server.warm_at
-        # Started lately by the list, and without a report since.
+        # The list has stated a recent start, and no report has come since.
         start_known = server.reported_busy is None and warm_at > now and not server.start_inferred
         is_older = (
             any(t.setups[-1].sent_at < lost_at for t in server.tunnels)
@@ -1326,7 +1330,7 @@
         self._record_recovery(server, now)
 
     def _min_seconds_to_reach(self, load: float) -> float:
-        """Gives the least time in which the budget of all balancers fills a starting server to a load."""
+        """Returns the least time in which the budget of all balancers fills a starting server to a load."""
         return (
             load * self.warm_up_window / (SLOW_START_SAFETY_FACTOR * MAX_RELATIVE_SIZE * self.overload_factor)
         )
@@ -1390,8 +1394,9 @@
         """Migrates this balancer's share of a server's load in excess of the migration target.
 
         Guards against an overloaded server, which would answer late and drop tunnels anyway. All balancers
-        receive the same load, and the same share of each one's tunnels brings it down to the target. That is
-        at least the median load of the fleet, lest clients go round between loaded servers.
+        receive the same report, and the same share of each one's tunnels brings the load down to the target.
+        This follows the median load of a loaded fleet, so that clients are not sent from one loaded server to
+        the next.
 
         While the target is under its maximum, a server with a load of 1 or more gives up whole groups, the
         ones farthest from their preferred servers first: without the heavy tunnels alone it would still bear
@@ -1615,11 +1620,12 @@
         )
 
     def _choose_subset(self, probe_interval: float) -> None:
-        """Chooses the servers that this balancer uses, a part of all if its tunnels pay for too few probes.
+        """Chooses the servers that this balancer uses: not all, if its tunnels pay for too few probes.
 
-        They do if they pay neither for probes of two candidates nor for periodic probes that keep all reports
-        young. The balancer takes every n-th server in the order of their hashes, out of step with zones and
-        kinds, from an offset of its own. Enough balancers share a subset that no server is left without one.
+        That is so if they pay neither for probes of two candidates nor for periodic probes that keep all
+        reports recent. The balancer takes every n-th server in the order of their hashes, which is out of
+        step with zones and kinds, from an offset of its own. Enough balancers share a subset that no server
+        is left without one.
         """
         subset_count = 1
         if self.may_probe and 2 * self.probe_price > PERIODIC_PROBE_SHARE + CANDIDATE_PROBE_SHARE:
