--- a/pointgw/interface.py
+++ b/pointgw/interface.py
@@ -58,10 +58,10 @@
     overload_window: float  # time over which that rate is counted
     probe_price: float  # credit that a probe costs
     tunnel_quota: float = 0.0  # open tunnels at all balancers that the tenants' quotas allow; 0: unknown
-    sizes_listed: bool = False  # the list tells the servers' sizes
+    sizes_listed: bool = False  # weights of the list are server sizes
     balancer_index: int = -1  # own index, 0 to balancer_count - 1; -1: unknown
     only_draining_excludes: bool = False  # a server removed without having drained may still be used
-    nines_weight: float = 0.0  # weight of the nines in the result: tenfold steps of the unserved share
+    nines_weight: float = 0.0  # weight in the result of the nines: tenfold reductions of the unserved share
     max_nines: float = 0.0  # number of nines that count in full; 0: unknown
 
 
--- a/pointgw/net/core/effects.py
+++ b/pointgw/net/core/effects.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Starts a setup by dialling a server; its request is written on `WriteRequest`. Times in seconds."""
+    """Starts a setup by dialling a server; its request is written on `WriteRequest`."""
 
     client: int
     setup: int
@@ -21,7 +21,7 @@
     remaining_time: float | None  # sent to the server; None: the line is passed on unchanged
     timeout: float  # of the whole setup
     connect_timeout: float
-    delay: float = 0.0
+    delay: float = 0.0  # until it is dialled
 
 
 @dataclass(frozen=True, slots=True)
--- a/pointgw/net/core/guard.py
+++ b/pointgw/net/core/guard.py
@@ -66,7 +66,7 @@
     # Events.
 
     def update_servers(self, entries: Iterable[ServerEntry], is_complete: bool) -> None:
-        """Records a full list or changes to it."""
+        """Records a complete list or changes to it."""
         listed = set()
         for entry in entries:
             listed.add(entry.server)
@@ -79,6 +79,7 @@
             self.excluded.update(self.locations.keys() - listed)
 
     def request_arrived(self, request: int, profile: Profile, deadline: float) -> None:
+        """A client has sent a request, to be answered before `deadline`."""
         self.requests[request] = GuardedRequest(profile, deadline)
 
     def client_left(self, request: int) -> None:
@@ -99,6 +100,7 @@
             sent.in_progress, sent.may_have_run = False, ending not in NOT_EXECUTED_ENDINGS
 
     def forget(self, request: int) -> None:
+        """Drops the record of a request."""
         self.requests.pop(request, None)
 
     # Checks before an action.
--- a/pointgw/net/core/reducer.py
+++ b/pointgw/net/core/reducer.py
@@ -48,8 +48,8 @@
 # The same, in seconds after the wait of a watch (a request that discovery holds until the list changes).
 WATCH_DEADLINE_SECONDS = 2.0
 WATCH_RESPONSE_SECONDS = WATCH_DEADLINE_SECONDS / 2  # a reachable discovery answers within this
-# Timeout of a request that does not wait. Discovery serves requests in turn and reports by itself one that
-# waited too long: giving up earlier would only put each request at the end of the queue.
+# Timeout of a request that does not wait. Discovery serves requests in turn and itself reports one that has
+# waited too long: giving up earlier would only put the next request at the end of its queue.
 LIST_RESPONSE_SECONDS = LIST_DEADLINE_SECONDS - WATCH_DEADLINE_SECONDS
 # Longest time from sending a request that fails to sending the next: discovery may become reachable right
 # after the first, and the answer to the next has to come before the deadline. Requests that fail at once
@@ -80,7 +80,8 @@
     request: OpenRequest
     tunnel: Tunnel
     arrived_at: float
-    previous_server: Server | None = None  # had its tunnel before this process started; until it is open
+    # The server that has its tunnel from before this process started; None once it is open here.
+    previous_server: Server | None = None
     answered: bool = False  # it has its final answer, or has left
 
 
@@ -99,13 +100,13 @@
         restored: RestoredState | None = None,
     ) -> None:
         self.membership = membership  # what snapshots hold of the list; None: no snapshots
-        self.on_declined: Callable[[Tunnel], None] | None = None  # set by the cluster runner
+        self.on_declined: Callable[[Tunnel], None] | None = None  # called with declined tunnels
         self.effects: list[effects.Effect] = []
         # Setups ended by the effects of the current event: tunnel, setup number, ending.
         self.pending_endings: list[tuple[Tunnel, int, Ending]] = []
         self.clients: dict[int, Client] = {}
         self.client_of: dict[Tunnel, Client] = {}
-        self.addresses: dict[str, effects.Address] = {}
+        self.addresses: dict[str, effects.Address] = {}  # by server name
         self.list_version: int | None = start.known_list.version
         self.discovery = start.discovery
         self.tunnel_names: set[str] = set()  # of the tunnels in `clients`
@@ -141,7 +142,7 @@
         if restored is None:
             self._update_list(start.known_list, True, now)
         else:
-            # Requests the full list: the snapshot's discovery may have numbered its versions differently.
+            # Requests the complete list: the snapshot's discovery may have numbered its versions differently.
             self.list_version = None
             self._update_list(ServerList(0, True, restored.entries, restored.addresses), True, now)
 
@@ -376,7 +377,7 @@
             self.retry_pause = min(2 * self.retry_pause, NEXT_REQUEST_SECONDS)
 
     def _settings_reloaded(self, event: SettingsReloaded) -> None:
-        """Switches to another discovery, which may number its versions anew: requests the full list."""
+        """Switches to another discovery, which may number its versions anew: requests the complete list."""
         if event.discovery != self.discovery:
             self.discovery, self.list_version, self.list_requested = event.discovery, None, False
             # That the former discovery was unreachable says nothing about this one.
@@ -421,7 +422,7 @@
         """Migrates all tunnels evenly over the remaining time, once no new connections arrive; then answers
         the remaining clients. The last round runs however late this is called. Guards the servers, and a
         service that all of them query at a setup, against many balancers that stop at once with few tunnels
-        each: all of those would migrate in the first rounds. The only cost is a later exit."""
+        each: rounded up, all of those would migrate in the first rounds. The only cost is a later exit."""
         self.stop_requested_at = min(self.stop_requested_at, self.now)
         remaining = self.stop_requested_at + self.stop_time_limit - self.now
         rounds = max(1, int((remaining - STOP_SETTLE_SECONDS) / STOP_ROUND_SECONDS))
--- a/pointgw/net/core/start_times.py
+++ b/pointgw/net/core/start_times.py
@@ -2,7 +2,7 @@
 
 Discovery reports when each server's process started as Unix time. The wall clock may step, at discovery
 and here, while a slow start takes real time. So each reported start is translated once, when first received,
-and bounded by what this process observed: a new start can't be long before the last list without it.
+and bounded by what this process observed: a new start can't lie long before the last list without it.
 """
 
 from __future__ import annotations
--- a/pointgw/net/wire/lines.py
+++ b/pointgw/net/wire/lines.py
@@ -55,9 +55,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """The current load of a tunnel on its server, in work per second."""
+    """The current load of a tunnel on its server."""
 
-    load: float
+    load: float  # as sent: millionths of the work per second that the policy counts in
 
 
 @dataclass(frozen=True, slots=True)
--- a/pointgw/net/wire/server_list.py
+++ b/pointgw/net/wire/server_list.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """A full list or changes to it."""
+    """A complete list or changes to it."""
 
     version: int
     is_complete: bool
@@ -118,7 +118,10 @@
 
 
 def encode_list_request(host: str, version: int | None, wait: float) -> bytes:
-    """The request for the full list (None), or for changes after `version`, held for up to `wait` seconds."""
+    """The request for the complete list (`version` None), or for changes after a version.
+
+    Discovery holds the latter for up to `wait` seconds until there are changes.
+    """
     query = "" if version is None else f"?from={version}&hold_ms={round(wait * 1e3)}"
     return f"GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
 
--- a/pointgw/net/wire/start_up.py
+++ b/pointgw/net/wire/start_up.py
@@ -24,12 +24,11 @@
     profiles: tuple[str, ...]
     tenants: tuple[str, ...]
     connect_timeout: float
-    descriptors: int  # limit that the platform sets; 0: not given
+    descriptors: int  # that the platform allows this process; 0: not given
     known_list: ServerList
     balancer_index: int = -1  # among the balancers; -1: not given
-    peers: tuple[
-        tuple[str, int], ...
-    ] = ()  # addresses of all balancers, by index; empty: not allowed to talk
+    # Addresses of all balancers, by index; empty: the platform does not let them communicate.
+    peers: tuple[tuple[str, int], ...] = ()
     peer_listen: tuple[str, int] | None = None
     drain_grace: float = 0.1  # how long a server may still get requests after it is known to drain
 
--- a/pointgw/site.py
+++ b/pointgw/site.py
@@ -11,16 +11,19 @@
 Fields = dict[str, str]
 T = TypeVar("T")
 
+# Names of load report fields on the wire, with their keys in a `Report`.
 REPORT_FIELDS = {
     "rif": "connections", "x0": "load", "x1": "backlog", "q": "waiting", "busy": "util", "rate": "rate",
     "lat_ms": "delay", "fail_rate": "errors", "inflight": "connections", "queue": "waiting", "util": "util",
     "qps": "rate", "latency_ms": "delay", "eps": "errors",
 }  # fmt: skip
 MILLISECOND_FIELDS = ("lat_ms", "latency_ms")
+# Values of `profiles.N.semantics`.
 SEMANTICS: dict[str, Semantics] = {
     "pure": "repeatable", "token": "referenced", "side_effect": "once-only",
     "safe": "repeatable", "keyed": "referenced", "unsafe": "once-only",
 }  # fmt: skip
+# Values of `profiles.N.group`.
 DEDUP_SCOPES: dict[str, DedupScope] = {"all": "all", "zone": "zone", "cell": "cell"}
 # Whether a membership mode has a list that must be polled.
 MEMBERSHIP_MODES = {"subscribe": True, "automatic": False, "ask": True, "push": False}
@@ -108,9 +111,9 @@
 
 
 def parse_report(pairs: str, separator: str) -> Report:
-    """Reads a load report: name, `separator`, number, joined by commas. Unknown names are skipped.
+    """Reads a load report: name, `separator`, number, joined by commas; "-" or nothing is an empty report.
 
-    Raises Malformed.
+    Unknown names are skipped. Raises Malformed.
     """
     report: Report = {}
     for pair in pairs.split(",") if pairs and pairs != "-" else ():
--- a/pointgw/state/restore.py
+++ b/pointgw/state/restore.py
@@ -40,7 +40,7 @@
         is_complete: bool,
         now: float,
     ) -> list[ServerEntry]:
-        """Applies a full list or an update of discovery; returns the entries that the policy is to use.
+        """Applies a complete list or an update of discovery; returns the entries that the policy is to use.
 
         An entry that lists as active a process that was leaving or left before the start is returned as
         leaving, so that rule 3 holds.
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -32,7 +32,7 @@
 
 
 def test_a_tunnel_is_set_up_and_its_outcome_accepted() -> None:
-    # A full list, not a cached one: where the list is polled, the servers of a cached one are cold, as it
+    # A complete list, not a cached one: where the list is polled, the servers of a cached one are cold, as it
     # is unknown what has become of them.
     start = [line.replace("cached", "full") for line in START]
     lines = [*start, "JOB_IN\tgrade=0\texpiresIn=1800.0\txid=t/a\tnovel=1", "OVER_TO_YOU"]
