--- a/pointgw/net/run/balancer_process.py
+++ b/pointgw/net/run/balancer_process.py
@@ -56,7 +56,7 @@
 STATE_LOG_INTERVAL = 10.0  # seconds between two state lines of the log
 FIRST_LINE_SHARE = 0.5  # share of the longest client timeout within which a client must begin its request
 BAD_CLIENT_TIMEOUT = 3.0  # seconds after accept by which a misbehaving client gets an error or a close
-SPARE_DESCRIPTOR_SHARE = 1 / 8  # share of the descriptors in reserve; idle connections are closed for it
+SPARE_DESCRIPTOR_SHARE = 1 / 8  # share of the descriptors that idle connections have to leave free
 OWN_DESCRIPTORS = 16  # descriptors that the process itself uses
 CLOCK_RESOLUTION = 0.001  # seconds, resolution of the event loop's clock
 EXIT_CHECK_INTERVAL = 0.01  # seconds between two checks whether the last connections have closed
@@ -94,7 +94,8 @@
         )
         self.wall_clock_offset = time.time() - time.monotonic()  # servers' start times are wall time
         self.reducer = self._create_reducer(policy)
-        self.slow_threshold = self.reducer.balancer.attempt_timeout / 3  # seconds without a reply
+        # Seconds without a reply from which a server is reported as slow.
+        self.slow_threshold = self.reducer.balancer.attempt_timeout / 3
         self.partial_line_timeout = min(
             self.reducer.max_client_timeout, BAD_CLIENT_TIMEOUT - 2 * CHECK_INTERVAL
         )
@@ -178,6 +179,7 @@
         _log.debug("refused", extra={"fields": {"kind": kind, "why": why}})
 
     def remove_client(self, client: ClientConnection) -> None:
+        """Forgets a client whose connection has closed."""
         self.connections.remove(client)
         self.clients.pop(client.number, None)
 
@@ -189,7 +191,7 @@
         self._execute_all(self.reducer.pop_effects())
         if early_signals.pop_sighup():  # a SIGHUP may have come after the file was read
             self.reload()
-        if self.reducer.list_is_pushed:  # rule 3: what the pushing agent already holds binds from the start
+        if self.reducer.list_is_pushed:  # rule 3: the agent's list counts as known from the start
             await self.discovery_answered
         await self._listen()
         self.timeout_check.start()
@@ -481,6 +483,8 @@
     cluster: ClusterRunner | None = None,
     recovery: RecoveryRunner | None = None,
 ) -> None:
+    """Runs a balancer until it has stopped. Raises OSError where the address can't be bound."""
+
     async def main() -> None:
         loop = asyncio.get_running_loop()
         await BalancerProcess(
--- a/pointgw/net/run/client_connections.py
+++ b/pointgw/net/run/client_connections.py
@@ -50,9 +50,11 @@
     # Idle.
 
     def add_idle(self, client: ClientConnection) -> None:
+        """Adds a connection that was just accepted."""
         self.idle[client] = None
 
     def remove_idle(self, client: ClientConnection) -> None:
+        """Removes a connection whose request has come."""
         self.idle.pop(client, None)
 
     def remove(self, connection: ClientConnection | ServerConnection) -> None:
--- a/pointgw/net/run/cluster.py
+++ b/pointgw/net/run/cluster.py
@@ -28,7 +28,7 @@
 from pointgw.policy import Balancer, Server, State, Tunnel
 
 DECLINED_COUNTED_FOR = 1.0  # seconds for which a declined client counts as demand: it will retry
-MAX_DECLINED = 100_000  # declined clients that are counted
+MAX_DECLINED = 100_000  # declined clients that are counted at most
 STATUS_INTERVAL = 1.0  # seconds between two writes of the status file
 
 Address = tuple[str, int]
--- a/pointgw/net/run/link.py
+++ b/pointgw/net/run/link.py
@@ -15,7 +15,8 @@
     def on_connected(self) -> None:
         """The link is up, and nothing was written to it yet."""
 
-    def on_data(self, data: bytes) -> None: ...
+    def on_data(self, data: bytes) -> None:
+        """Data has arrived on the link."""
 
     def on_lost(self) -> None:
         """The link has ended, and not by the owner's `close`."""
--- a/pointgw/net/run/recovery.py
+++ b/pointgw/net/run/recovery.py
@@ -28,7 +28,7 @@
 from pointgw.recovery.transport import Address, LeaseTransport
 
 # Interval between two checks, as a share of the time by which a lease ends later at its lessor than at its
-# borrower.
+# lessee.
 CHECK_SHARE = 0.5
 
 _log = logging.getLogger("pointgw.recovery")
--- a/pointgw/net/run/snapshots.py
+++ b/pointgw/net/run/snapshots.py
@@ -74,19 +74,19 @@
     ) -> None:
         """Starts to write snapshots. `clock`: the process's time in seconds, which never steps."""
 
-        def take(clean: bool) -> records.Snapshot:
+        def take_snapshot(clean_stop: bool) -> records.Snapshot:
             now, wall = clock(), time.time()
             clock_step = wall - now if abs(wall - now) > CLOCK_TOLERANCE_SECONDS else 0.0
             discovery = reducer.discovery  # read here, as a reload may have changed it
             return records.Snapshot(
-                self.fingerprint, wall, reducer.list_version, f"{discovery[0]}:{discovery[1]}", clean,
+                self.fingerprint, wall, reducer.list_version, f"{discovery[0]}:{discovery[1]}", clean_stop,
                 to_wall_time(self.membership.snapshot_records(now), clock_step),
                 server_health(reducer.balancer, now, clock_step), learned_figures(reducer.balancer),
                 self.membership.lifetimes, self.boot_id,
             )  # fmt: skip
 
         self.writer = snapshot_writer.SnapshotWriter(
-            self.store, take, lambda: self.membership.change_count, loop
+            self.store, take_snapshot, lambda: self.membership.change_count, loop
         )
 
     async def stop(self) -> None:
