--- a/pointgw/cluster/members.py
+++ b/pointgw/cluster/members.py
@@ -28,8 +28,8 @@
 MAX_HEALTH_SCORE = 8  # steps; 0 is healthy
 ACK_HEALTH_STEP = 2  # steps down for an answered ping; an unanswered one is a step up
 RETRANSMIT_FACTOR = 4.0  # times log2(members): how often an update is sent
-# Periods without a timer call after which this process counts as paused. Also the periods after a false death
-# in which a dead member gets a HELLO every time.
+# Periods without a timer call after which this process counts as paused. For as many periods after a false
+# death a dead member gets a HELLO in every period.
 PAUSE_PERIODS = 8.0
 DEAD_HELLO_PERIODS = 10  # periods, on average, between two HELLOs to members that are dead or have left
 HELLOS_PER_PERIOD = 4  # HELLOs in a period to members that were never heard from
--- a/pointgw/cluster/observations.py
+++ b/pointgw/cluster/observations.py
@@ -171,27 +171,27 @@
 
     def _recent_entries(self, zone: int, now: float, origins: set[int]) -> list[ObservationEntry]:
         """Recent entries of these origins about a zone, newest first."""
-        entries = [h for h in self.entries.values() if h.entry.zone == zone and h.entry.origin in origins]
-        recent = [h for h in entries if now - h.observed_at <= MAX_AGE]
-        return [h.entry for h in sorted(recent, key=lambda h: (-h.observed_at, h.entry.origin))]
+        stored = [s for s in self.entries.values() if s.entry.zone == zone and s.entry.origin in origins]
+        recent = [s for s in stored if now - s.observed_at <= MAX_AGE]
+        return [s.entry for s in sorted(recent, key=lambda s: (-s.observed_at, s.entry.origin))]
 
     def estimate_zones(self, now: float) -> tuple[ZoneEstimate, ...]:
-        """Estimates of all zones. The load of one tunnel is estimated as the load of all servers by the
-        number of open tunnels."""
+        """Estimates of all zones. The load of one tunnel is estimated as the load of all servers divided by
+        the number of open tunnels."""
         # Guards against demand in the wrong zone: clients of a balancer that died return to others long
         # before its entries expire. While a live member is wrongly suspected, the others of its zone stand in
         # for it.
         members = self.members.unsuspected_members()
         recent = [self._recent_entries(zone, now, members) for zone in range(self.zone_count)]
         load = sum(
-            median_low(f.load for f in entries[:CAPACITY_SAMPLES]) / 1e3 for entries in recent if entries
+            median_low(e.load for e in entries[:CAPACITY_SAMPLES]) / 1e3 for entries in recent if entries
         )
-        with_demand = [[f for f in entries if f.demand] for entries in recent]
-        all_with_demand = [f for entries in with_demand for f in entries]
+        with_demand = [[e for e in entries if e.demand] for entries in recent]
+        all_with_demand = [e for entries in with_demand for e in entries]
         max_tunnels = (
-            MAX_DEMAND_RATIO * median_low(sum(f.demand) for f in all_with_demand) if all_with_demand else 0
+            MAX_DEMAND_RATIO * median_low(sum(e.demand) for e in all_with_demand) if all_with_demand else 0
         )
-        tunnel_count = sum(min(f.open_tunnels, max_tunnels) for f in all_with_demand)
+        tunnel_count = sum(min(e.open_tunnels, max_tunnels) for e in all_with_demand)
         load_per_tunnel = (
             load * len(all_with_demand) / len(members) / tunnel_count if tunnel_count >= MIN_TUNNELS else 0.0
         )
@@ -220,8 +220,8 @@
         evenly over balancers; one that does have more than four times the median is planned for less than it
         needs."""
         samples = entries[:CAPACITY_SAMPLES]
-        capacity = median_low(f.capacity for f in samples) / 1e3 if samples else 0.0
-        warm_capacity = median_low(f.warm_capacity for f in samples) / 1e3 if samples else 0.0
+        capacity = median_low(e.capacity for e in samples) / 1e3 if samples else 0.0
+        warm_capacity = median_low(e.warm_capacity for e in samples) / 1e3 if samples else 0.0
         demand = [0.0] * self.profile_count
         for entry in with_demand:
             scale = min(1.0, max_tunnels / max(1, sum(entry.demand)))
--- a/pointgw/cluster/plan.py
+++ b/pointgw/cluster/plan.py
@@ -21,7 +21,7 @@
 TARGET_UTILISATION = 0.65  # share of a zone's present capacity that is planned at most
 SHORTAGE_UTILISATION = 0.78  # the same, if load would be declined otherwise
 ROUNDS_PER_RING = 4  # rounds in which a ring's remaining capacity is divided
-MIN_LOAD = 1e-6  # average warm servers; less is not placed
+MIN_LOAD = 1e-6  # average warm servers; less load than this is not placed
 SHARE_DEADBAND = 0.03  # of a profile's traffic; shares that differ by less are left as they are
 RATE_AWAY = 2.0  # largest change per second of a profile's shares away from its own zone
 RATE_HOME = 0.15  # the same, where the share of its own zone grows
--- a/pointgw/recovery/leases.py
+++ b/pointgw/recovery/leases.py
@@ -12,7 +12,7 @@
 - A lessor has one lease out at a time, and does without the granted share until it ends, used or not. A
   process that has just started does without it for as long, as its predecessor may have granted it.
 - A false lessor, which uses its share all the same or grants it to many, adds to the sum what its possible
-  lessees can hold: `lessor_count(N)` shares of N, which is 4% from 25 balancers on and 1/N below, compared to
+  lessees can hold: `lessor_count(N)` shares of N, at most 4% from 25 balancers on and 1/N below, compared to
   the fifth that `policy.SLOW_START_SAFETY_FACTOR` keeps free. Who may borrow from whom is a ring by index, so
   that nobody can grant to all.
 - A replayed or false request costs an idle lessor its share for `LEASE_DURATION`, except for
--- a/pointgw/simulator_adapter/host.py
+++ b/pointgw/simulator_adapter/host.py
@@ -60,6 +60,7 @@
     # Events of the simulator.
 
     def update_list(self, form: str, entries: list[ServerEntry], now: float) -> None:
+        """Applies an announced list, or the failure of a list request."""
         if form == "failed":
             self.balancer.list_request_failed(now)
         else:
@@ -99,6 +100,7 @@
         return tunnel
 
     def forget_if_finished(self, tunnel: Tunnel) -> None:
+        """Frees the id of a tunnel that is finished."""
         if tunnel.is_finished:
             self.tunnels.pop(tunnel.name, None)
 
@@ -187,14 +189,14 @@
     """Processes the simulator's batches line by line."""
 
     def __init__(self) -> None:
-        self.instances: dict[int, Instance] = {}
-        self.touched_instances: dict[int, Instance] = {}
-        self.server_lists: dict[int, list[ServerEntry]] = {}
-        self.incomplete_list: list[ServerEntry] = []
-        self.missing_entries = 0  # entries still to come of the list being read
-        self.current_balancer: int | None = None
-        self.turn: int | None = None
-        self.now = 0.0
+        self.instances: dict[int, Instance] = {}  # by balancer id
+        self.touched_instances: dict[int, Instance] = {}  # those with events in the current batch
+        self.server_lists: dict[int, list[ServerEntry]] = {}  # by number of the table
+        self.incomplete_list: list[ServerEntry] = []  # the list being read
+        self.missing_entries = 0  # entries of it still to come
+        self.current_balancer: int | None = None  # the one that events are for
+        self.turn: int | None = None  # number of the current batch; None: between batches
+        self.now = 0.0  # seconds
 
     def feed_line(self, line: str) -> str | None:
         """Processes one line; returns the reply if it ends a batch. Raises Malformed."""
--- a/pointgw/validation.py
+++ b/pointgw/validation.py
@@ -1,7 +1,7 @@
 """Reads TOML files into typed structs and reports every problem in a file at once.
 
-msgspec's conversion stops at the first error, so each key is converted separately here. For an unknown key
-the closest known key is named.
+msgspec's conversion stops at the first error, so each key is converted separately here, and an operator can
+correct a file in one pass. For an unknown key the closest known key is named.
 """
 
 from __future__ import annotations
