--- a/pointgw/net/run/link.py
+++ b/pointgw/net/run/link.py
@@ -17,6 +17,7 @@
 
     def on_data(self, data: bytes) -> None:
         """Data has arrived on the link."""
+        ...
 
     def on_lost(self) -> None:
         """The link has ended, and not by the owner's `close`."""
