--- a/pointgw/command/main.py
+++ b/pointgw/command/main.py
@@ -165,10 +165,10 @@
 
     Exit code 1: a rule was violated.
     """
-    from pointgw.command.rig import play_and_show
+    from pointgw.command.rig import run_and_show
 
     with report_invalid_file():
-        return play_and_show("demo", 1, "srlb", folder, as_json, True, seconds)
+        return run_and_show("demo", 1, "srlb", folder, as_json, True, seconds)
 
 
 @pointgw.group()
@@ -194,10 +194,10 @@
 @click.option("--plot/--no-plot", default=True, show_default=True, help="Whether to draw the plots.")
 def rig_run(scenario: str, seeds: int, policy: str, folder: str, as_json: bool, plot: bool) -> int:
     """Run SCENARIO, a file or a name from `pointgw rig list`. Exit code 1: a rule was violated."""
-    from pointgw.command.rig import play_and_show
+    from pointgw.command.rig import run_and_show
 
     with report_invalid_file():
-        return play_and_show(scenario, seeds, policy, folder, as_json, plot, None)
+        return run_and_show(scenario, seeds, policy, folder, as_json, plot, None)
 
 
 @rig.command("list")
@@ -214,9 +214,9 @@
 @click.argument("folder", type=click.Path(file_okay=False, exists=True))
 def rig_judge(folder: str) -> int:
     """Check the records of an earlier run again. Exit code 1: a rule was violated."""
-    from pointgw.command.rig import judge_again
+    from pointgw.command.rig import check_again
 
-    return judge_again(folder)
+    return check_again(folder)
 
 
 @rig.command("report")
--- a/pointgw/command/rig.py
+++ b/pointgw/command/rig.py
@@ -26,7 +26,7 @@
 from pointgw.testbed.stand_in import StandIn
 
 
-def play_and_show(
+def run_and_show(
     name: str,
     seeds: int,
     policy: str,
@@ -35,14 +35,17 @@
     plot: bool,
     seconds: float | None,
 ) -> int:
-    """Runs a scenario once for each seed. Exit code 1: a rule was violated; 3: a run is void."""
+    """Runs a scenario once for each seed; returns the exit code.
+
+    1: a rule was violated; 3: a run is void; 130: interrupted. Raises `validation.InvalidFileError`.
+    """
     scenario = read(name)
     if seconds is not None:
-        scenario = _stretched(scenario, seconds)
-    found: list[Result] = []
+        scenario = _with_length(scenario, seconds)
+    results: list[Result] = []
     try:
         for seed in range(scenario.seed, scenario.seed + seeds):
-            found.append(asyncio.run(_play(scenario, seed, policy, Path(folder))))
+            results.append(asyncio.run(_run_with_seed(scenario, seed, policy, Path(folder))))
     except InvalidRunError as error:
         click.echo(f"pointgw: run is void: {error}", err=True)
         return 3
@@ -51,23 +54,23 @@
         return 130
     output = Path(folder) / f"{scenario.name}-{policy}"
     output.mkdir(parents=True, exist_ok=True)
-    (output / "result.json").write_bytes(msgspec.json.encode(found))
+    (output / "result.json").write_bytes(msgspec.json.encode(results))
     if as_json:
-        click.echo(msgspec.json.encode(found).decode())
+        click.echo(msgspec.json.encode(results).decode())
     else:
-        click.echo("\n".join(table.format_results(found)))
+        click.echo("\n".join(table.format_results(results)))
     if plot:
         try:
             from pointgw.testbed.plot import draw
         except ImportError:
             click.echo("no plot: pointgw[rig] is not installed", err=True)
         else:
-            draw(found, output / "plot.png")
+            draw(results, output / "plot.png")
             click.echo(f"plot: {output / 'plot.png'}   records: {output}", err=as_json)
-    return 0 if all(r.kept for r in found) else 1
+    return 0 if all(r.kept for r in results) else 1
 
 
-def _stretched(scenario: Scenario, seconds: float) -> Scenario:
+def _with_length(scenario: Scenario, seconds: float) -> Scenario:
     """The scenario with another length; its troubles are scaled with it."""
     factor = seconds / scenario.seconds
     troubles = [
@@ -76,21 +79,21 @@
     return msgspec.structs.replace(scenario, seconds=seconds, trouble=tuple(troubles))
 
 
-async def _play(scenario: Scenario, seed: int, policy: str, folder: Path) -> Result:
+async def _run_with_seed(scenario: Scenario, seed: int, policy: str, folder: Path) -> Result:
     """Runs a scenario with one seed and checks its records. SIGINT and SIGTERM end the run."""
     output = folder / f"{scenario.name}-{policy}" / f"seed-{seed}"
     seeded = msgspec.structs.replace(scenario, seed=seed)
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
-    for name in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(name, task.cancel)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, task.cancel)
     try:
         run_meta = await ScenarioRun(seeded, output, policy, _progress(scenario, seed)).execute()
     except asyncio.CancelledError:
         raise KeyboardInterrupt from None
-    found = records.read(output)
-    return compute_result(found, run_meta, check_records(found, run_meta))
+    run_records = records.read(output)
+    return compute_result(run_records, run_meta, check_records(run_records, run_meta))
 
 
 def _progress(scenario: Scenario, seed: int) -> Callable[[float], None] | None:
@@ -108,44 +111,52 @@
     return show
 
 
-def judge_again(folder: str) -> int:
+def check_again(folder: str) -> int:
     """Checks the records of an earlier run and prints the result; returns the exit code."""
-    found, run_meta = records.read(Path(folder)), rig_meta.read(Path(folder))
-    verdict = check_records(found, run_meta)
+    run_records, run_meta = records.read(Path(folder)), rig_meta.read(Path(folder))
+    verdict = check_records(run_records, run_meta)
     click.echo("\n".join(format_result(verdict)))
     return 0 if verdict.passed and verdict.tunnels_checked else 1
 
 
-def show(first: str, other: str | None, as_json: bool) -> int:
-    """Prints one file of results, or two side by side."""
-    one = _results(first)
-    two = _results(other) if other is not None else None
+def show(path: str, other_path: str | None, as_json: bool) -> int:
+    """Prints a file of results, or two side by side; returns the exit code. Raises as `_results` does."""
+    first_results = _results(path)
+    other_results = _results(other_path) if other_path is not None else None
     if as_json:
-        rows = [msgspec.to_builtins(results) for results in (one, two) if results is not None]
+        rows = [
+            msgspec.to_builtins(results) for results in (first_results, other_results) if results is not None
+        ]
         click.echo(json.dumps(rows))
     else:
-        click.echo("\n".join(table.format_results(one) if two is None else table.format_comparison(one, two)))
+        click.echo(
+            "\n".join(
+                table.format_results(first_results)
+                if other_results is None
+                else table.format_comparison(first_results, other_results)
+            )
+        )
     return 0
 
 
 def _results(path: str) -> list[Result]:
     """Reads a result.json. Raises `validation.InvalidFileError`."""
     try:
-        found = msgspec.json.decode(Path(path).read_bytes(), type=list[Result])
+        results = msgspec.json.decode(Path(path).read_bytes(), type=list[Result])
     except OSError as error:
         expected = f"a file that can be read ({error.strerror})"
     except msgspec.DecodeError as error:
         expected = f"a result.json of rig run ({error})"
     else:
-        if found:
-            return found
+        if results:
+            return results
         expected = "at least one run"
     raise validation.InvalidFileError(path, [validation.InvalidValue("", "", expected)])
 
 
-def load_and_show(load: LoadGenerator, as_json: bool) -> int:
+def load_and_show(generator: LoadGenerator, as_json: bool) -> int:
     """Opens tunnels and prints the figures. Exit code 1: none could be opened."""
-    figures = uvloop.run(load.run())
+    figures = uvloop.run(generator.run())
     text = (
         json.dumps(figures) if as_json else "  ".join(f"{name} {value:g}" for name, value in figures.items())
     )
@@ -153,9 +164,9 @@
     return 0 if figures["opened"] else 1
 
 
-def stand_in_until_interrupted(alone: StandIn) -> int:
+def stand_in_until_interrupted(stand_in: StandIn) -> int:
     """Runs stand-in servers and discovery until SIGINT."""
     log.configure("WARNING")
     with suppress(KeyboardInterrupt):
-        uvloop.run(alone.run())
+        uvloop.run(stand_in.run())
     return 0
--- a/pointgw/command/tier.py
+++ b/pointgw/command/tier.py
@@ -14,7 +14,7 @@
 
 
 def show(path: str, as_json: bool) -> int:
-    """Prints a status file; returns the exit code."""
+    """Prints a status file; returns the exit code. 1: it can't be read, or is old."""
     try:
         age = time.time() - os.stat(path).st_mtime
         with open(path, "rb") as file:
@@ -42,12 +42,12 @@
         f" other maps {status['other_maps']}",
     ]
     for zone, figures in status["zones"].items():
-        words = "  ".join(f"{name} {figure:6.2f}" for name, figure in figures.items())
-        lines.append(f"  zone {zone:<12} {words}   (mean, warm servers)")
+        text = "  ".join(f"{name} {figure:6.2f}" for name, figure in figures.items())
+        lines.append(f"  zone {zone:<12} {text}   (average warm servers)")
     for profile, shares in status["shares"].items():
         declined = 1.0 - sum(shares.values())
-        words = "  ".join(f"{zone} {share:5.3f}" for zone, share in shares.items())
-        lines.append(f"  {profile:<17} {words}   declined {max(0.0, declined):5.3f}")
+        text = "  ".join(f"{zone} {share:5.3f}" for zone, share in shares.items())
+        lines.append(f"  {profile:<17} {text}   declined {max(0.0, declined):5.3f}")
     figures = status["figures"]
     lines.append("  " + "  ".join(f"{name} {figures[name]}" for name in sorted(figures)))
     return lines
--- a/pointgw/fault_proxy/proxy.py
+++ b/pointgw/fault_proxy/proxy.py
@@ -25,7 +25,7 @@
 Address = tuple[str, int]
 
 
-class ConnectionState(Enum):
+class ProxyConnectionState(Enum):
     """State of a connection through the proxy."""
 
     READING_FIRST_LINE = "naming"  # the first line is not complete yet
@@ -35,10 +35,10 @@
 
 
 TRANSITIONS = {
-    ConnectionState.READING_FIRST_LINE: (ConnectionState.CONNECTING, ConnectionState.CLOSED),
-    ConnectionState.CONNECTING: (ConnectionState.FORWARDING, ConnectionState.CLOSED),
-    ConnectionState.FORWARDING: (ConnectionState.CLOSED,),
-    ConnectionState.CLOSED: (),
+    ProxyConnectionState.READING_FIRST_LINE: (ProxyConnectionState.CONNECTING, ProxyConnectionState.CLOSED),
+    ProxyConnectionState.CONNECTING: (ProxyConnectionState.FORWARDING, ProxyConnectionState.CLOSED),
+    ProxyConnectionState.FORWARDING: (ProxyConnectionState.CLOSED,),
+    ProxyConnectionState.CLOSED: (),
 }
 
 
@@ -111,7 +111,7 @@
     def schedule_due(self) -> None:
         """Applies the steps that are due by time."""
         assert self.schedule is not None
-        if self.connection.state is not ConnectionState.CLOSED and not self.schedule.is_finished:
+        if self.connection.state is not ProxyConnectionState.CLOSED and not self.schedule.is_finished:
             self.apply_steps(self.schedule.advance(self.connection.age()))
 
     def apply_steps(self, steps: list[Step]) -> None:
@@ -149,7 +149,7 @@
     def write_due(self) -> None:
         """Writes the chunks that are due, and sets the timer of the next one."""
         transport = self.target.transport
-        if transport is None or self.stalled or self.connection.state is not ConnectionState.FORWARDING:
+        if transport is None or self.stalled or self.connection.state is not ProxyConnectionState.FORWARDING:
             return
         now = self.connection.loop.time()
         while self.queue and not self.blocked and self.queue[0].due <= now + 1e-4:
@@ -169,6 +169,7 @@
             )
 
     def cancel_timers(self) -> None:
+        """Ends all that would still happen by time."""
         for timer in (self.write_timer, self.schedule_timer):
             if timer is not None:
                 timer.cancel()
@@ -185,10 +186,10 @@
         self.first_bytes_ended = False
         self.client, self.target = Endpoint(self), Endpoint(self)
         self.up, self.down = Flow(self, self.client, self.target), Flow(self, self.target, self.client)
-        self.state = ConnectionState.READING_FIRST_LINE
+        self.state = ProxyConnectionState.READING_FIRST_LINE
         self.connect_task: asyncio.Task[None] | None = None
 
-    def change_state(self, state: ConnectionState) -> None:
+    def change_state(self, state: ProxyConnectionState) -> None:
         """Changes the state. Raises ValueError if `TRANSITIONS` doesn't allow it."""
         if state not in TRANSITIONS[self.state]:
             raise ValueError(f"{self.state.value} cannot become {state.value}")
@@ -203,18 +204,20 @@
         return self.down if endpoint is self.client else self.up
 
     def connected(self, endpoint: Endpoint) -> None:
+        """One of the two sockets is connected."""
         if endpoint is self.client:
             self.proxy.connections[self] = None
             if self.proxy.script.known_by == "order":
                 self._identify(str(self.number))
-        elif self.state is ConnectionState.CLOSED and endpoint.transport is not None:
+        elif self.state is ProxyConnectionState.CLOSED and endpoint.transport is not None:
             endpoint.transport.abort()
         else:
-            self.change_state(ConnectionState.FORWARDING)
+            self.change_state(ProxyConnectionState.FORWARDING)
             self.up.write_due()
 
     def received(self, endpoint: Endpoint, data: bytes) -> None:
-        if self.state is ConnectionState.CLOSED:
+        """Data has come from a socket: it goes to the schedule, or is kept until the name is known."""
+        if self.state is ProxyConnectionState.CLOSED:
             return
         flow = self.up if endpoint is self.client else self.down
         if flow.schedule is None:
@@ -225,7 +228,8 @@
             flow.apply_steps(flow.schedule.feed(data, self.age()))
 
     def end_of_input(self, endpoint: Endpoint) -> None:
-        if self.state is ConnectionState.CLOSED:
+        """A socket's peer sends nothing more."""
+        if self.state is ProxyConnectionState.CLOSED:
             return
         flow = self.up if endpoint is self.client else self.down
         if flow.schedule is None:
@@ -234,6 +238,7 @@
             flow.apply_steps(flow.schedule.finish())
 
     def _identify(self, name: str) -> None:
+        """Sets the name, and starts both directions by the rules that apply, or refuses the connection."""
         self.name = name
         script, seed = self.proxy.script, self.proxy.seed
         number = self.number if script.known_by == "order" else None
@@ -243,10 +248,10 @@
             self.proxy.add_trace(name, [f"{name} up rule={refusing_rule} refuse byte=0 line=0"])
             self._close(True)
             return
-        self.change_state(ConnectionState.CONNECTING)
+        self.change_state(ProxyConnectionState.CONNECTING)
         self.connect_task = self.loop.create_task(self._connect())
         for flow, direction in ((self.up, "up"), (self.down, "down")):
-            if self.state is not ConnectionState.CLOSED:
+            if self.state is not ProxyConnectionState.CLOSED:
                 flow.begin(Schedule(script, rules, seed, name, direction))
         if self.first_bytes:
             first_bytes, self.first_bytes = bytes(self.first_bytes), bytearray()
@@ -260,7 +265,7 @@
             if (
                 flow.schedule is not None
                 and not flow.schedule.is_finished
-                and self.state is not ConnectionState.CLOSED
+                and self.state is not ProxyConnectionState.CLOSED
             ):
                 self.proxy.add_trace(self.name, [entry.text(self.name) for entry in flow.schedule.trace])
                 flow.apply_steps(flow.schedule.release())
@@ -289,13 +294,13 @@
 
     def endpoint_lost(self, reset: bool) -> None:
         """Closes the connection after one of its sockets was closed."""
-        if self.state is not ConnectionState.CLOSED:
+        if self.state is not ProxyConnectionState.CLOSED:
             self._close(reset)
 
     def _close(self, reset: bool) -> None:
-        if self.state is ConnectionState.CLOSED:
+        if self.state is ProxyConnectionState.CLOSED:
             return
-        self.change_state(ConnectionState.CLOSED)
+        self.change_state(ProxyConnectionState.CLOSED)
         if self.connect_task is not None and not self.connect_task.done():
             self.connect_task.cancel()
         lines: list[str] = []
@@ -341,7 +346,7 @@
     _server: asyncio.Server | None = field(default=None, init=False)
 
     async def start(self) -> Address:
-        """Listens; returns the address."""
+        """Listens; returns the address. Raises OSError where it can't be bound."""
         self.loop = asyncio.get_running_loop()
         self._server = await self.loop.create_server(self._accept, *self.listen, backlog=1024)
         host, port = self._server.sockets[0].getsockname()[:2]
@@ -350,6 +355,7 @@
 
     @property
     def address(self) -> Address:
+        """Where the proxy listens."""
         return self.listen
 
     def _accept(self) -> Endpoint:
--- a/pointgw/fault_proxy/serve.py
+++ b/pointgw/fault_proxy/serve.py
@@ -28,8 +28,8 @@
             print(f"pointgw fault-box: {listen[0]}:{listen[1]}: {error.strerror}", file=sys.stderr)
             return 1
         stopped = asyncio.Event()
-        for name in (signal.SIGINT, signal.SIGTERM):
-            asyncio.get_running_loop().add_signal_handler(name, stopped.set)
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            asyncio.get_running_loop().add_signal_handler(signal_number, stopped.set)
         print(f"listening on {host}:{port}, to {to[0]}:{to[1]}", flush=True)
         await stopped.wait()
         await proxy.stop()
--- a/pointgw/net/__init__.py
+++ b/pointgw/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real balancer: what is spoken (`wire`), what is kept (`core`), start and stop (`run`)."""
+"""The balancer process: protocol codecs (`wire`), state without I/O (`core`), sockets and timers (`run`)."""
