--- a/pointgw/cluster/plan.py
+++ b/pointgw/cluster/plan.py
@@ -72,9 +72,9 @@
         return max(
             (
                 abs(a - b)
-                for mine, theirs in zip(self.shares, other.shares, strict=True)
-                for one, two in zip(mine, theirs, strict=True)
-                for a, b in zip(one, two, strict=True)
+                for own_rows, other_rows in zip(self.shares, other.shares, strict=True)
+                for own_shares, other_shares in zip(own_rows, other_rows, strict=True)
+                for a, b in zip(own_shares, other_shares, strict=True)
             ),
             default=0.0,
         )
--- a/pointgw/command/state.py
+++ b/pointgw/command/state.py
@@ -25,57 +25,57 @@
     return None
 
 
-def _report_damage(folder: str, found: LoadResult) -> bool:
+def _report_damage(folder: str, loaded: LoadResult) -> bool:
     """Prints the damaged generations; whether there are any."""
-    for damage in found.damaged:
+    for damage in loaded.damaged:
         click.echo(f"pointgw state: {folder}: damaged: {damage}", err=True)
-    return bool(found.damaged)
+    return bool(loaded.damaged)
 
 
 def show(folder: str, as_json: bool) -> int:
     """Prints the newest valid generation, record by record; returns the exit code."""
-    found = _load(folder)
-    if found is None or found.snapshot is None:
-        if found is not None and not _report_damage(folder, found):
+    loaded = _load(folder)
+    if loaded is None or loaded.snapshot is None:
+        if loaded is not None and not _report_damage(folder, loaded):
             click.echo(f"pointgw state: {folder}: expected a snapshot, found none", err=True)
         return 1
-    snapshot, now = found.snapshot, time.time()
+    snapshot, now = loaded.snapshot, time.time()
     entries = rows(snapshot, now)
     if as_json:
         head = {
-            "generation": found.generation,
+            "generation": loaded.generation,
             "age": now - snapshot.written_at,
             "clean": snapshot.clean_stop,
         }
-        click.echo(json.dumps(head | {"entries": entries, "lost": list(found.damaged)}))
+        click.echo(json.dumps(head | {"entries": entries, "lost": list(loaded.damaged)}))
     else:
         stop = "at a regular stop" if snapshot.clean_stop else "while serving"
-        click.echo(f"generation {found.generation}, written {now - snapshot.written_at:.1f} s ago {stop}")
+        click.echo(f"generation {loaded.generation}, written {now - snapshot.written_at:.1f} s ago {stop}")
         for row in entries:
             click.echo(
                 f"{row['server']!s:<24} {row['state']!s:<8} age {row['age']:>10} s  trust {row['trust']:<5}"
                 f"  {row['standing']}: {row['why']}"
             )
-    return 1 if _report_damage(folder, found) else 0
+    return 1 if _report_damage(folder, loaded) else 0
 
 
 def check(folder: str) -> int:
     """Checks every generation; returns the exit code."""
-    found = _load(folder)
-    if found is None:
+    loaded = _load(folder)
+    if loaded is None:
         return 1
-    damaged = _report_damage(folder, found)
-    if found.snapshot is None:
+    damaged = _report_damage(folder, loaded)
+    if loaded.snapshot is None:
         click.echo(f"{folder}: no valid generation")
         return 1
-    click.echo(f"{folder}: generation {found.generation} is valid, {len(found.snapshot.servers)} records")
+    click.echo(f"{folder}: generation {loaded.generation} is valid, {len(loaded.snapshot.servers)} records")
     return 1 if damaged else 0
 
 
 def export(folder: str) -> int:
     """Prints the newest valid generation as JSON; returns the exit code."""
-    found = _load(folder)
-    if found is None or found.snapshot is None:
+    loaded = _load(folder)
+    if loaded is None or loaded.snapshot is None:
         return 1
-    click.echo(msgspec.json.encode(msgspec.to_builtins(found.snapshot)).decode())
-    return 1 if _report_damage(folder, found) else 0
+    click.echo(msgspec.json.encode(msgspec.to_builtins(loaded.snapshot)).decode())
+    return 1 if _report_damage(folder, loaded) else 0
--- a/pointgw/fault_proxy/script.py
+++ b/pointgw/fault_proxy/script.py
@@ -43,6 +43,7 @@
     put: str = ""  # replace: the new start
 
     def check(self) -> Iterator[tuple[str, object, str]]:
+        """Problems across keys, for `validation`: key, value, what was expected."""
         moments = [self.after_bytes, self.after_lines, self.after_seconds]
         if sum(moment is not None for moment in moments) > 1:
             yield "after_bytes", self.after_bytes, "one of after_bytes, after_lines and after_seconds"
@@ -65,6 +66,7 @@
     known_by: Literal["order", "first-line"] = "order"
 
     def check(self) -> Iterator[tuple[str, object, str]]:
+        """Problems across keys, for `validation`: key, value, what was expected."""
         for i, rule in enumerate(self.rule):
             if self.known_by == "first-line" and (rule.act == "refuse" or rule.first or rule.every > 1):
                 yield f"rule[{i}].first", rule.first, "no number of a connection, as known_by is 'first-line'"
--- a/pointgw/net/run/cluster.py
+++ b/pointgw/net/run/cluster.py
@@ -107,6 +107,7 @@
             _log.info("tier", extra={"fields": {"evacuate": ",".join(section.evacuate) or "-"}})
 
     def stop(self) -> None:
+        """Leaves the cluster."""
         if self.transport is not None:
             self.transport.stop()
 
--- a/pointgw/net/run/discovery.py
+++ b/pointgw/net/run/discovery.py
@@ -100,7 +100,7 @@
         self.process.submit(ListReceived(received, time.time()))
 
     def fail(self, why: str, silent: bool = False) -> None:
-        """Ends the call as failed, once, and closes its connection. `silent`: a long poll had no answer."""
+        """Ends the call as failed, once, and closes its connection. `silent`: a watch had no answer."""
         if self.request is None:
             self._close()
             return
--- a/pointgw/net/run/operator_file.py
+++ b/pointgw/net/run/operator_file.py
@@ -41,7 +41,7 @@
             return
         self._apply_log_level()
         after = self._restart_only()
-        restart = ",".join(name for name, was in before.items() if after[name] != was) or "-"
+        restart = ",".join(name for name, section in before.items() if after[name] != section) or "-"
         _log.info("operators' file read", extra={"fields": {"path": self.path, "need_restart": restart}})
 
     def _restart_only(self) -> dict[str, object]:
--- a/pointgw/net/run/probe.py
+++ b/pointgw/net/run/probe.py
@@ -113,6 +113,7 @@
         self._finish("moot", {})
 
     def close(self) -> None:
+        """Closes the connection without an event."""
         if self.task is not None:
             self.task.cancel()
         link, self.link = self.link, None
--- a/pointgw/net/run/recovery.py
+++ b/pointgw/net/run/recovery.py
@@ -102,6 +102,7 @@
         self._check()
 
     def stop(self) -> None:
+        """Ends the checks, and closes the socket unless it is the cluster's."""
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None and self.owns_socket:
--- a/pointgw/net/run/server.py
+++ b/pointgw/net/run/server.py
@@ -150,6 +150,7 @@
         tcp.pause_reading(self.transport)
 
     def resume_reading(self) -> None:
+        """Reads again, once the client reads."""
         tcp.resume_reading(self.transport)
 
     def check_inactivity(self, now: float) -> None:
--- a/pointgw/net/run/snapshots.py
+++ b/pointgw/net/run/snapshots.py
@@ -42,14 +42,14 @@
         opened = snapshot_writer.open_store(folder, start_up.name)
         if opened is None:
             return None
-        store, found = opened
+        store, loaded = opened
         fingerprint = records.installation_fingerprint(start_up.names.zones, start_up.profiles)
         listed = records_from_list(start_up.known_list.servers, start_up.known_list.addresses)
         now, restored, boot_id = time.time(), None, read_boot_id(boot_path)
-        if found.snapshot is None:
-            _log.info("no snapshot", extra={"fields": {"folder": folder, "lost": len(found.damaged)}})
+        if loaded.snapshot is None:
+            _log.info("no snapshot", extra={"fields": {"folder": folder, "lost": len(loaded.damaged)}})
         else:
-            restored = restore(found.snapshot, listed, fingerprint, now, boot_id)
+            restored = restore(loaded.snapshot, listed, fingerprint, now, boot_id)
             if restored is None:
                 store.release()
                 why = "snapshot of another installation: its zones or profiles differ"
@@ -90,6 +90,7 @@
         )
 
     async def stop(self) -> None:
+        """Writes the last snapshot, as one of a clean stop."""
         if self.writer is not None:
             await self.writer.stop(clean_stop=True)
 
--- a/pointgw/net/run/tcp.py
+++ b/pointgw/net/run/tcp.py
@@ -41,11 +41,13 @@
 
 
 def pause_reading(transport: asyncio.Transport | None) -> None:
+    """Stops reading from a connection, unless there is none or it is closing."""
     if transport is not None and not transport.is_closing():
         transport.pause_reading()
 
 
 def resume_reading(transport: asyncio.Transport | None) -> None:
+    """Reads from a connection again, unless there is none or it is closing."""
     if transport is not None and not transport.is_closing():
         transport.resume_reading()
 
--- a/pointgw/policy.py
+++ b/pointgw/policy.py
@@ -1192,7 +1192,7 @@
     def record_load(self, tunnel: Tunnel, load: float, now: float) -> None:
         """Records a tunnel's load, in work a second.
 
-        Guards against a tunnel that grows heavy while its server's last report still looks well.
+        Guards against a tunnel that grows heavy while its server's last report shows no overload.
         """
         if tunnel.state is State.OPEN:
             server = tunnel.setups[-1].server
@@ -1211,10 +1211,10 @@
         """Records the delay of a message; a slow one ejects the server and migrates a part of its tunnels.
 
         The server is probed and treated like an overloaded one, again after PLACEMENT_REPORT_DELAY unless
-        its messages become quicker. Guards against a server that is slow for this balancer while reports look
-        well: because of a false or old report, a noisy neighbour, an ageing machine, a network path, or a
-        slow-down of all servers. Own messages are evidence that reports are not. The cost: one tunnel with
-        slow messages of its own ejects its server until quick messages end that.
+        its messages become quicker. Guards against a server that is slow for this balancer while reports show
+        no overload: because of a false or old report, a noisy neighbour, an ageing machine, a network path,
+        or a slow-down of all servers. Own messages are evidence that reports are not. The cost: one tunnel
+        with slow messages of its own ejects its server until quick messages end that.
         """
         if tunnel.state is not State.OPEN:
             return
--- a/pointgw/recovery/__init__.py
+++ b/pointgw/recovery/__init__.py
@@ -1,4 +1,4 @@
-"""Recovery of a fleet after an outage: shares of the cold servers' budget are leased between balancers.
+"""Recovery of a fleet after an outage: shares of the slow-start budget are leased between balancers.
 
 `leases` (who may use whose share of rule 4's budget, and until when), `phase` (a balancer's phase after an
 outage) and `messages` (one datagram) do no I/O and read no clock; `transport` sends and receives datagrams.
--- a/pointgw/recovery/leases.py
+++ b/pointgw/recovery/leases.py
@@ -1,4 +1,4 @@
-"""Leases: shares of the cold servers' budget, lent for a short time. No I/O, no clock: `now` is passed in.
+"""Leases: shares of the slow-start budget, lent for a short time. No I/O, no clock: `now` is passed in.
 
 Rule 4 gives each of N balancers 1/N of what a cold server may get. If few balancers have waiting tunnels,
 nearly all of it lies idle. A balancer without waiting tunnels (the lessor) grants its share to one that
@@ -59,7 +59,7 @@
     rng: Random
     started_at: float
     lessors: tuple[int, ...] = ()  # balancers that this one may borrow from
-    by_lessor: dict[int, Lease] = field(default_factory=dict)
+    by_lessor: dict[int, Lease] = field(default_factory=dict)  # for each of `lessors`
     last_request_at: float = -inf
     next_lessor: int = 0  # position in `lessors`, counted up
     lessee: int = -1  # who has the own share; -1: nobody had it yet
--- a/pointgw/simulator_adapter/host.py
+++ b/pointgw/simulator_adapter/host.py
@@ -105,11 +105,13 @@
             self.tunnels.pop(tunnel.name, None)
 
     def on_job_in(self, fields: Fields, now: float) -> None:
+        """A client has requested a tunnel."""
         tunnel = self.new_tunnel(fields, now + site.read_seconds(fields, "expiresIn"))
         self.balancer.tunnel_arrived(tunnel, site.read_flag(fields, "stray", False), now)
         self.forget_if_finished(tunnel)
 
     def on_inherited(self, fields: Fields, now: float) -> None:
+        """A tunnel was open at a server before this balancer started."""
         server = self.find_server(fields)
         tunnel = self.new_tunnel(fields, now)
         self.balancer.tunnel_inherited(tunnel, server, now)
@@ -122,6 +124,7 @@
         return i
 
     def on_under_way(self, fields: Fields, now: float) -> None:
+        """A setup has opened its tunnel."""
         tunnel = self.find_tunnel(fields)
         self.balancer.setup_opened(tunnel, self.read_setup_number(tunnel, fields), now)
 
@@ -133,6 +136,7 @@
         return i
 
     def on_heartbeat(self, fields: Fields, now: float) -> None:
+        """A tunnel's load (kind 1, in millionths) or message delay (kind 2, in ms); others are ignored."""
         tunnel, kind = self.find_tunnel(fields), site.read_int(fields, "kind")
         level = site.read_float(fields, "level")
         if kind == 1:
@@ -141,6 +145,7 @@
             self.balancer.record_delay(tunnel, level / 1e3, now)
 
     def on_reply(self, fields: Fields, now: float) -> None:
+        """A setup, or the open tunnel that it led to, has ended."""
         tunnel = self.find_tunnel(fields)
         self.balancer.setup_ended(
             tunnel,
@@ -153,16 +158,19 @@
         self.forget_if_finished(tunnel)
 
     def on_left(self, fields: Fields, now: float) -> None:
+        """A tunnel's client has left."""
         tunnel = self.tunnels.get(site.read_text(fields, "xid"))
         if tunnel is not None:  # it may have ended already
             self.balancer.client_left(tunnel, now)
             self.forget_if_finished(tunnel)
 
     def on_probed(self, fields: Fields, now: float) -> None:
+        """A probe has ended."""
         ending = site.read_choice(fields, "ending", codec.ENDINGS)
         self.balancer.probe_ended(self.find_server(fields), ending, codec.read_report(fields), now)
 
     def on_tick_due(self, fields: Fields, now: float) -> None:
+        """A timer is due."""
         site.read_int(fields, "cookie")
         self.balancer.timer_due(now)
 
