--- a/pointgw/cluster/plan.py
+++ b/pointgw/cluster/plan.py
@@ -21,7 +21,7 @@
 TARGET_UTILISATION = 0.65  # share of a zone's present capacity that is planned at most
 SHORTAGE_UTILISATION = 0.78  # the same, if load would be declined otherwise
 ROUNDS_PER_RING = 4  # rounds in which a ring's remaining capacity is divided
-MIN_LOAD = 1e-6  # average warm servers; less is not placed
+MIN_LOAD = 1e-6  # average warm servers; less load than this is not placed
 SHARE_DEADBAND = 0.03  # of a profile's traffic; shares that differ by less are left as they are
 RATE_AWAY = 2.0  # largest change per second of a profile's shares away from its own zone
 RATE_HOME = 0.15  # the same, where the share of its own zone grows
@@ -72,9 +72,9 @@
         return max(
             (
                 abs(a - b)
-                for mine, theirs in zip(self.shares, other.shares, strict=True)
-                for one, two in zip(mine, theirs, strict=True)
-                for a, b in zip(one, two, strict=True)
+                for own_rows, other_rows in zip(self.shares, other.shares, strict=True)
+                for own_shares, other_shares in zip(own_rows, other_rows, strict=True)
+                for a, b in zip(own_shares, other_shares, strict=True)
             ),
             default=0.0,
         )
--- a/pointgw/net/run/client_connections.py
+++ b/pointgw/net/run/client_connections.py
@@ -37,10 +37,10 @@
         self,
         address: tuple[str, int],
         factory: Callable[[], ClientConnection],
-        make_room: Callable[[], object],
+        free_descriptor: Callable[[], object],
     ) -> None:
         """Raises OSError where the address can't be bound."""
-        self.listener = Listener(self.loop, factory, make_room)
+        self.listener = Listener(self.loop, factory, free_descriptor)
         self.listener.open(address)
 
     def stop_listening(self, force: bool = False) -> bool:
@@ -50,9 +50,11 @@
     # Idle.
 
     def add_idle(self, client: ClientConnection) -> None:
+        """Adds a connection that was just accepted."""
         self.idle[client] = None
 
     def remove_idle(self, client: ClientConnection) -> None:
+        """Removes a connection whose request has come."""
         self.idle.pop(client, None)
 
     def remove(self, connection: ClientConnection | ServerConnection) -> None:
--- a/pointgw/net/run/cluster.py
+++ b/pointgw/net/run/cluster.py
@@ -28,7 +28,7 @@
 from pointgw.policy import Balancer, Server, State, Tunnel
 
 DECLINED_COUNTED_FOR = 1.0  # seconds for which a declined client counts as demand: it will retry
-MAX_DECLINED = 100_000  # declined clients that are counted
+MAX_DECLINED = 100_000  # declined clients that are counted at most
 STATUS_INTERVAL = 1.0  # seconds between two writes of the status file
 
 Address = tuple[str, int]
@@ -107,6 +107,7 @@
             _log.info("tier", extra={"fields": {"evacuate": ",".join(section.evacuate) or "-"}})
 
     def stop(self) -> None:
+        """Leaves the cluster."""
         if self.transport is not None:
             self.transport.stop()
 
@@ -143,7 +144,7 @@
         all_local = all(share[self.settings.zone] == 1.0 for share in own_shares)
         balancer.zone_shares = {} if all_local else dict(zip(balancer.profiles, own_shares, strict=True))
         agreed = node.agreement.agreed_vote
-        to_log = (len(node.members.live_members()), agreed, node.map_mismatch())
+        to_log = (len(node.members.live_members()), agreed, node.has_map_mismatch())
         if to_log != self.last_logged:
             self.last_logged = to_log
             _log.info("tier", extra={"fields": self._status_fields(now)})
--- a/pointgw/net/run/discovery.py
+++ b/pointgw/net/run/discovery.py
@@ -25,7 +25,9 @@
 
     __slots__ = ("address", "failing", "link", "names", "process", "request", "response", "task", "timer")
 
-    def __init__(self, process: BalancerProcess, address: tuple[str, int], names: server_list.Names) -> None:
+    def __init__(
+        self, process: BalancerProcess, address: tuple[str, int], names: server_list.DeploymentNames
+    ) -> None:
         self.process, self.address, self.names = process, address, names
         self.request: RequestList | None = None
         self.link: Link | None = None  # the current connection; data on others is ignored
@@ -98,7 +100,7 @@
         self.process.submit(ListReceived(received, time.time()))
 
     def fail(self, why: str, silent: bool = False) -> None:
-        """Ends the call as failed, once, and closes its connection. `silent`: a long poll had no answer."""
+        """Ends the call as failed, once, and closes its connection. `silent`: a watch had no answer."""
         if self.request is None:
             self._close()
             return
--- a/pointgw/net/run/recovery.py
+++ b/pointgw/net/run/recovery.py
@@ -28,7 +28,7 @@
 from pointgw.recovery.transport import Address, LeaseTransport
 
 # Interval between two checks, as a share of the time by which a lease ends later at its lessor than at its
-# borrower.
+# lessee.
 CHECK_SHARE = 0.5
 
 _log = logging.getLogger("pointgw.recovery")
@@ -102,6 +102,7 @@
         self._check()
 
     def stop(self) -> None:
+        """Ends the checks, and closes the socket unless it is the cluster's."""
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None and self.owns_socket:
--- a/pointgw/net/run/snapshots.py
+++ b/pointgw/net/run/snapshots.py
@@ -42,14 +42,14 @@
         opened = snapshot_writer.open_store(folder, start_up.name)
         if opened is None:
             return None
-        store, found = opened
+        store, loaded = opened
         fingerprint = records.installation_fingerprint(start_up.names.zones, start_up.profiles)
         listed = records_from_list(start_up.known_list.servers, start_up.known_list.addresses)
         now, restored, boot_id = time.time(), None, read_boot_id(boot_path)
-        if found.snapshot is None:
-            _log.info("no snapshot", extra={"fields": {"folder": folder, "lost": len(found.damaged)}})
+        if loaded.snapshot is None:
+            _log.info("no snapshot", extra={"fields": {"folder": folder, "lost": len(loaded.damaged)}})
         else:
-            restored = restore(found.snapshot, listed, fingerprint, now, boot_id)
+            restored = restore(loaded.snapshot, listed, fingerprint, now, boot_id)
             if restored is None:
                 store.release()
                 why = "snapshot of another installation: its zones or profiles differ"
@@ -74,22 +74,23 @@
     ) -> None:
         """Starts to write snapshots. `clock`: the process's time in seconds, which never steps."""
 
-        def take(clean: bool) -> records.Snapshot:
+        def take_snapshot(clean_stop: bool) -> records.Snapshot:
             now, wall = clock(), time.time()
             clock_step = wall - now if abs(wall - now) > CLOCK_TOLERANCE_SECONDS else 0.0
             discovery = reducer.discovery  # read here, as a reload may have changed it
             return records.Snapshot(
-                self.fingerprint, wall, reducer.list_version, f"{discovery[0]}:{discovery[1]}", clean,
+                self.fingerprint, wall, reducer.list_version, f"{discovery[0]}:{discovery[1]}", clean_stop,
                 to_wall_time(self.membership.snapshot_records(now), clock_step),
                 server_health(reducer.balancer, now, clock_step), learned_figures(reducer.balancer),
                 self.membership.lifetimes, self.boot_id,
             )  # fmt: skip
 
         self.writer = snapshot_writer.SnapshotWriter(
-            self.store, take, lambda: self.membership.change_count, loop
+            self.store, take_snapshot, lambda: self.membership.change_count, loop
         )
 
     async def stop(self) -> None:
+        """Writes the last snapshot, as one of a clean stop."""
         if self.writer is not None:
             await self.writer.stop(clean_stop=True)
 
--- a/pointgw/net/wire/start_up.py
+++ b/pointgw/net/wire/start_up.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from pointgw.interface import Site
-from pointgw.net.wire.server_list import Names, ServerList, parse_server_list
+from pointgw.net.wire.server_list import DeploymentNames, ServerList, parse_server_list
 from pointgw.site import Fields, Malformed, parse_site, read_seconds
 
 
@@ -20,16 +20,15 @@
     discovery: tuple[str, int]
     seed: int
     site: Site
-    names: Names
+    names: DeploymentNames
     profiles: tuple[str, ...]
     tenants: tuple[str, ...]
     connect_timeout: float
-    descriptors: int  # limit that the platform sets; 0: not given
+    descriptors: int  # that the platform allows this process; 0: not given
     known_list: ServerList
     balancer_index: int = -1  # among the balancers; -1: not given
-    peers: tuple[
-        tuple[str, int], ...
-    ] = ()  # addresses of all balancers, by index; empty: not allowed to talk
+    # Addresses of all balancers, by index; empty: the platform does not let them communicate.
+    peers: tuple[tuple[str, int], ...] = ()
     peer_listen: tuple[str, int] | None = None
     drain_grace: float = 0.1  # how long a server may still get requests after it is known to drain
 
@@ -58,7 +57,7 @@
     try:
         start = json.loads(data)
         settings = start["settings"]
-        names = Names(_names(settings.get("zones")), _names(settings.get("kinds")))
+        names = DeploymentNames(_names(settings.get("zones")), _names(settings.get("kinds")))
         fields = flatten(settings)
         return StartUpSettings(
             name=str(start["name"]),
--- a/pointgw/recovery/leases.py
+++ b/pointgw/recovery/leases.py
@@ -1,4 +1,4 @@
-"""Leases: shares of the cold servers' budget, lent for a short time. No I/O, no clock: `now` is passed in.
+"""Leases: shares of the slow-start budget, lent for a short time. No I/O, no clock: `now` is passed in.
 
 Rule 4 gives each of N balancers 1/N of what a cold server may get. If few balancers have waiting tunnels,
 nearly all of it lies idle. A balancer without waiting tunnels (the lessor) grants its share to one that
@@ -12,7 +12,7 @@
 - A lessor has one lease out at a time, and does without the granted share until it ends, used or not. A
   process that has just started does without it for as long, as its predecessor may have granted it.
 - A false lessor, which uses its share all the same or grants it to many, adds to the sum what its possible
-  lessees can hold: `lessor_count(N)` shares of N, which is 4% from 25 balancers on and 1/N below, compared to
+  lessees can hold: `lessor_count(N)` shares of N, at most 4% from 25 balancers on and 1/N below, compared to
   the fifth that `policy.SLOW_START_SAFETY_FACTOR` keeps free. Who may borrow from whom is a ring by index, so
   that nobody can grant to all.
 - A replayed or false request costs an idle lessor its share for `LEASE_DURATION`, except for
@@ -59,7 +59,7 @@
     rng: Random
     started_at: float
     lessors: tuple[int, ...] = ()  # balancers that this one may borrow from
-    by_lessor: dict[int, Lease] = field(default_factory=dict)
+    by_lessor: dict[int, Lease] = field(default_factory=dict)  # for each of `lessors`
     last_request_at: float = -inf
     next_lessor: int = 0  # position in `lessors`, counted up
     lessee: int = -1  # who has the own share; -1: nobody had it yet
@@ -86,11 +86,11 @@
         own = RESERVED_SHARE if now < self.granted_until else 1.0
         return own + (1.0 - RESERVED_SHARE) * sum(now < lease.expires_at for lease in self.by_lessor.values())
 
-    def requests_due(self, needs: bool, idle: bool, now: float) -> list[LeaseRequest]:
-        """Requests to be sent now. `needs`: tunnels wait that cold servers could take; `idle`: no tunnel
-        waits, nor was one declined recently."""
-        self.is_idle = idle
-        if not needs or now < self.last_request_at + REQUEST_INTERVAL * self.lease_seconds:
+    def requests_due(self, can_use_leases: bool, is_idle: bool, now: float) -> list[LeaseRequest]:
+        """Requests to be sent now. `can_use_leases`: tunnels wait that cold servers could take; `is_idle`: no
+        tunnel waits, nor was one declined recently."""
+        self.is_idle = is_idle
+        if not can_use_leases or now < self.last_request_at + REQUEST_INTERVAL * self.lease_seconds:
             return []
         self.last_request_at = now
         expiring = [
@@ -117,11 +117,11 @@
 
     def receive_request(self, lessee: int, now: float) -> bool:
         """A request from another balancer; True if it is granted the own share."""
-        is_eligible = (self.own_index - lessee) % self.balancer_count in range(
+        may_borrow = (self.own_index - lessee) % self.balancer_count in range(
             1, lessor_count(self.balancer_count) + 1
         )
         is_free = now >= self.granted_until or lessee == self.lessee
-        if not (is_eligible and is_free and self.is_idle):
+        if not (may_borrow and is_free and self.is_idle):
             return False
         self.lessee, self.granted_until = lessee, now + (1.0 + LESSOR_MARGIN) * self.lease_seconds
         self.granted_count += 1
--- a/pointgw/simulator_adapter/host.py
+++ b/pointgw/simulator_adapter/host.py
@@ -60,6 +60,7 @@
     # Events of the simulator.
 
     def update_list(self, form: str, entries: list[ServerEntry], now: float) -> None:
+        """Applies an announced list, or the failure of a list request."""
         if form == "failed":
             self.balancer.list_request_failed(now)
         else:
@@ -99,15 +100,18 @@
         return tunnel
 
     def forget_if_finished(self, tunnel: Tunnel) -> None:
+        """Frees the id of a tunnel that is finished."""
         if tunnel.is_finished:
             self.tunnels.pop(tunnel.name, None)
 
     def on_job_in(self, fields: Fields, now: float) -> None:
+        """A client has requested a tunnel."""
         tunnel = self.new_tunnel(fields, now + site.read_seconds(fields, "expiresIn"))
         self.balancer.tunnel_arrived(tunnel, site.read_flag(fields, "stray", False), now)
         self.forget_if_finished(tunnel)
 
     def on_inherited(self, fields: Fields, now: float) -> None:
+        """A tunnel was open at a server before this balancer started."""
         server = self.find_server(fields)
         tunnel = self.new_tunnel(fields, now)
         self.balancer.tunnel_inherited(tunnel, server, now)
@@ -120,6 +124,7 @@
         return i
 
     def on_under_way(self, fields: Fields, now: float) -> None:
+        """A setup has opened its tunnel."""
         tunnel = self.find_tunnel(fields)
         self.balancer.setup_opened(tunnel, self.read_setup_number(tunnel, fields), now)
 
@@ -131,6 +136,7 @@
         return i
 
     def on_heartbeat(self, fields: Fields, now: float) -> None:
+        """A tunnel's load (kind 1, in millionths) or message delay (kind 2, in ms); others are ignored."""
         tunnel, kind = self.find_tunnel(fields), site.read_int(fields, "kind")
         level = site.read_float(fields, "level")
         if kind == 1:
@@ -139,6 +145,7 @@
             self.balancer.record_delay(tunnel, level / 1e3, now)
 
     def on_reply(self, fields: Fields, now: float) -> None:
+        """A setup, or the open tunnel that it led to, has ended."""
         tunnel = self.find_tunnel(fields)
         self.balancer.setup_ended(
             tunnel,
@@ -151,16 +158,19 @@
         self.forget_if_finished(tunnel)
 
     def on_left(self, fields: Fields, now: float) -> None:
+        """A tunnel's client has left."""
         tunnel = self.tunnels.get(site.read_text(fields, "xid"))
         if tunnel is not None:  # it may have ended already
             self.balancer.client_left(tunnel, now)
             self.forget_if_finished(tunnel)
 
     def on_probed(self, fields: Fields, now: float) -> None:
+        """A probe has ended."""
         ending = site.read_choice(fields, "ending", codec.ENDINGS)
         self.balancer.probe_ended(self.find_server(fields), ending, codec.read_report(fields), now)
 
     def on_tick_due(self, fields: Fields, now: float) -> None:
+        """A timer is due."""
         site.read_int(fields, "cookie")
         self.balancer.timer_due(now)
 
@@ -187,14 +197,14 @@
     """Processes the simulator's batches line by line."""
 
     def __init__(self) -> None:
-        self.instances: dict[int, Instance] = {}
-        self.touched_instances: dict[int, Instance] = {}
-        self.server_lists: dict[int, list[ServerEntry]] = {}
-        self.incomplete_list: list[ServerEntry] = []
-        self.missing_entries = 0  # entries still to come of the list being read
-        self.current_balancer: int | None = None
-        self.turn: int | None = None
-        self.now = 0.0
+        self.instances: dict[int, Instance] = {}  # by balancer id
+        self.touched_instances: dict[int, Instance] = {}  # those with events in the current batch
+        self.server_lists: dict[int, list[ServerEntry]] = {}  # by number of the table
+        self.incomplete_list: list[ServerEntry] = []  # the list being read
+        self.missing_entries = 0  # entries of it still to come
+        self.current_balancer: int | None = None  # the one that events are for
+        self.turn: int | None = None  # number of the current batch; None: between batches
+        self.now = 0.0  # seconds
 
     def feed_line(self, line: str) -> str | None:
         """Processes one line; returns the reply if it ends a batch. Raises Malformed."""
--- a/pointgw/state/restore.py
+++ b/pointgw/state/restore.py
@@ -37,10 +37,10 @@
         self,
         entries: Iterable[ServerEntry],
         addresses: Iterable[tuple[str, str, int]],
-        is_full: bool,
+        is_complete: bool,
         now: float,
     ) -> list[ServerEntry]:
-        """Applies a full list or an update of discovery; returns the entries that the policy is to use.
+        """Applies a complete list or an update of discovery; returns the entries that the policy is to use.
 
         An entry that lists as active a process that was leaving or left before the start is returned as
         leaving, so that rule 3 holds.
@@ -73,7 +73,7 @@
             self._put(record, known, now)
             accepted.append(entry)
             listed.add(entry.server)
-        if is_full:
+        if is_complete:
             for name, record in list(self.records.items()):
                 if name not in listed and not record.is_inactive:
                     left = msgspec.structs.replace(record, state="left", confirmed_at=now)
