--- a/benchmarks/lease_scaling.py
+++ b/benchmarks/lease_scaling.py
@@ -2,8 +2,8 @@
 
     python benchmarks/lease_scaling.py [--sizes 3:4,40:12,200:30] [--seeds 20]
 
-Simulation: the real decisions and leases on a virtual clock (`tests/filling_world.py`), all servers cold at
-first. "few": for four seconds tunnels arrive at one balancer in twelve; tunnels placed without leases and
+Simulation: the real decisions and leases on a virtual clock (`tests/slow_start_world.py`), all servers cold
+at first. "few": for four seconds tunnels arrive at one balancer in twelve; tunnels placed without leases and
 with them. "all at once": after three seconds of that, five tunnels arrive at each balancer; the most that any
 server got within an overload window, as a share of its budget plus two standard deviations, over all seeds; a
 third of the messages is lost, the others are up to 1.5 s late. "false lessor": the same, with one balancer
@@ -19,8 +19,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from filling_world import World
 from pointgw.recovery.leases import Leases
+from slow_start_world import World
 
 
 class FalseLessor(Leases):
--- a/tests/test_gathering.py
+++ b/tests/test_group_affinity.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gathering_world import World
+from group_affinity_world import World
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -14,7 +14,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from filling_world import World
 from pointgw import operators, validation
 from pointgw.cluster.wire import Keys, RefusedDatagramError
 from pointgw.interface import Profile
@@ -31,6 +30,7 @@
     ServerCounts,
     queue_priority,
 )
+from slow_start_world import World
 
 OVERLOAD_WINDOW = 2.0  # seconds
 KEYS = Keys((b"0123456789abcdef",))
--- a/tests/test_filling.py
+++ b/tests/test_slow_start.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from filling_world import START, STEP_SECONDS, World
 from helpers import RecordingHost, make_site
 from pointgw.interface import ServerEntry
 from pointgw.policy import Balancer, Server
+from slow_start_world import START, STEP_SECONDS, World
 
 COUNTS = [20, 30, 200, 230]
 LARGE = 1000  # balancers: one seed, as it takes seconds
