--- a/pointgw/command/main.py
+++ b/pointgw/command/main.py
@@ -10,7 +10,7 @@
 
 from pointgw import validation
 from pointgw.command.common import Address, report_invalid_file
-from pointgw.site import Malformed
+from pointgw.site import MalformedInputError
 
 KINDS = ("operator", "start", "scenario", "script")
 
@@ -64,7 +64,7 @@
             raise validation.InvalidFileError(
                 str(path), [validation.InvalidValue("", "", expected)]
             ) from None
-        except Malformed as error:
+        except MalformedInputError as error:
             raise validation.InvalidFileError(
                 str(path), [validation.InvalidValue("", "", str(error).removeprefix("expected "))]
             ) from None
--- a/pointgw/net/run/balancer_process.py
+++ b/pointgw/net/run/balancer_process.py
@@ -44,7 +44,7 @@
 from pointgw.net.wire.lines import Decline, EndLine, OpenRequest
 from pointgw.net.wire.start_up import StartUpSettings
 from pointgw.policy import Balancer
-from pointgw.site import Malformed
+from pointgw.site import MalformedInputError
 
 if TYPE_CHECKING:
     from pointgw.net.run.cluster import ClusterRunner
@@ -292,7 +292,7 @@
             return
         try:
             start_up = self.read_settings()
-        except (OSError, Malformed) as error:
+        except (OSError, MalformedInputError) as error:
             _log.error("reload failed", extra={"fields": {"why": error, "tries_left": tries}})
             if tries:
                 self.loop.call_later(REREAD_DELAY, self._read_start_up, reload_number, tries - 1)
--- a/pointgw/net/run/client.py
+++ b/pointgw/net/run/client.py
@@ -10,7 +10,7 @@
 from pointgw.net.run import tcp
 from pointgw.net.run.connection_state import ConnectionLifecycle, ConnectionState
 from pointgw.net.wire import lines
-from pointgw.site import Malformed
+from pointgw.site import MalformedInputError
 
 if TYPE_CHECKING:
     from pointgw.net.run.balancer_process import BalancerProcess
@@ -59,13 +59,13 @@
     def _read_first_line(self) -> None:
         try:
             if self.lifecycle.state is ConnectionState.REQUESTED:
-                raise Malformed("data received before the answer was sent")
+                raise MalformedInputError("data received before the answer was sent")
             line = lines.pop_line(self.buffer)
             if line is None:
                 return
             message = lines.parse_client_line(line)
             if self.buffer:
-                raise Malformed("data received after the first line, before the answer was sent")
+                raise MalformedInputError("data received after the first line, before the answer was sent")
             if isinstance(message, lines.Ping):
                 self.transport.write((lines.ERR if self.process.stopping else lines.PONG) + lines.LINE_END)
             else:
@@ -73,7 +73,7 @@
                 self.request_id, self.answer_deadline = message.name, self.process.answer_deadline(message)
                 self.number = self.process.register_request(self)
                 self.process.submit(ClientArrived(self.number, message))
-        except Malformed as error:
+        except MalformedInputError as error:
             self.refuse("malformed", error)
 
     def refuse(self, kind: str, why: object) -> None:
--- a/pointgw/net/run/daemon.py
+++ b/pointgw/net/run/daemon.py
@@ -11,7 +11,7 @@
 from pointgw.net.run.balancer_process import run
 from pointgw.net.wire.start_up import StartUpSettings, parse_start_up_file
 from pointgw.policy import Balancer
-from pointgw.site import Malformed
+from pointgw.site import MalformedInputError
 
 
 def daemon(config: str, operator: str | None, policy: type[Balancer] = Balancer) -> int:
@@ -27,7 +27,7 @@
     early_signals.install_handler()
     try:
         start_up = read_settings()
-    except (OSError, Malformed) as error:
+    except (OSError, MalformedInputError) as error:
         print(f"pointgw: {config}: {error}", file=sys.stderr)
         return 2
     operator_file = None
--- a/pointgw/net/run/discovery.py
+++ b/pointgw/net/run/discovery.py
@@ -12,7 +12,7 @@
 from pointgw.net.core.reducer import LIST_RESPONSE_SECONDS, WATCH_RESPONSE_SECONDS
 from pointgw.net.run.link import Link
 from pointgw.net.wire import server_list
-from pointgw.site import Malformed
+from pointgw.site import MalformedInputError
 
 if TYPE_CHECKING:
     from pointgw.net.run.balancer_process import BalancerProcess
@@ -69,7 +69,7 @@
     def on_data(self, data: bytes) -> None:
         try:
             self.response.feed(data)
-        except Malformed as error:
+        except MalformedInputError as error:
             self.fail(str(error))
             return
         if self.response.pop_complete():
@@ -90,7 +90,7 @@
             return
         try:
             received = server_list.parse_server_list_body(bytes(response.body), self.names)
-        except Malformed as error:
+        except MalformedInputError as error:
             self.fail(str(error))
             return
         self.failing = False
--- a/pointgw/net/run/probe.py
+++ b/pointgw/net/run/probe.py
@@ -10,7 +10,7 @@
 from pointgw.net.core.events import ProbeEnded
 from pointgw.net.run.link import Link
 from pointgw.net.wire import lines
-from pointgw.site import Malformed
+from pointgw.site import MalformedInputError
 
 if TYPE_CHECKING:
     from pointgw.net.run.balancer_process import BalancerProcess
@@ -71,7 +71,7 @@
         self.buffer += data
         try:
             line = lines.pop_line(self.buffer)
-        except Malformed:
+        except MalformedInputError:
             line = lines.ERR
         if line is None:
             return
--- a/pointgw/net/run/server.py
+++ b/pointgw/net/run/server.py
@@ -12,7 +12,7 @@
 from pointgw.net.run.client import ClientConnection
 from pointgw.net.run.connection_state import ConnectionLifecycle, ConnectionState
 from pointgw.net.wire import lines
-from pointgw.site import Malformed
+from pointgw.site import MalformedInputError
 
 if TYPE_CHECKING:
     from pointgw.net.run.balancer_process import BalancerProcess
@@ -84,7 +84,7 @@
         if self.up_line is None:
             try:
                 self._read_first_line()
-            except Malformed:
+            except MalformedInputError:
                 self._end("error")
         if self.lifecycle.state is ConnectionState.RELAYING:
             self._forward_lines()
--- a/pointgw/net/wire/lines.py
+++ b/pointgw/net/wire/lines.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from pointgw.interface import Ending, Report
-from pointgw.site import Malformed, parse_report
+from pointgw.site import MalformedInputError, parse_report
 
 LINE_END = b"\r\n"
 MAX_LINE_BYTES = 4096  # including its line end
@@ -78,12 +78,12 @@
 def pop_line(buffer: bytearray) -> bytes | None:
     """Removes the first complete line from a buffer and returns it without its end; None: no complete line.
 
-    Raises Malformed on a line that is too long.
+    Raises MalformedInputError on a line that is too long.
     """
     at = buffer.find(b"\n", 0, MAX_LINE_BYTES)
     if at < 0:
         if len(buffer) >= MAX_LINE_BYTES:
-            raise Malformed(f"expected a line of at most {MAX_LINE_BYTES} bytes")
+            raise MalformedInputError(f"expected a line of at most {MAX_LINE_BYTES} bytes")
         return None
     line = bytes(buffer[:at])
     del buffer[: at + 1]
@@ -91,27 +91,27 @@
 
 
 def parse_client_line(line: bytes) -> Ping | OpenRequest:
-    """Decodes the first line of a client's connection. Raises Malformed."""
+    """Decodes the first line of a client's connection. Raises MalformedInputError."""
     if line == PING:
         return Ping()
     word, _, rest = line.partition(b" ")
     if word != b"OPEN":
-        raise Malformed(f"expected OPEN or PING, got {line[:80]!r}")
+        raise MalformedInputError(f"expected OPEN or PING, got {line[:80]!r}")
     try:
         name, key, pairs = rest.decode("ascii").split(" ", 2)
     except ValueError:
-        raise Malformed(f"expected OPEN ID KEY PAIRS, got {line[:80]!r}") from None
+        raise MalformedInputError(f"expected OPEN ID KEY PAIRS, got {line[:80]!r}") from None
     items = [pair.partition("=") for pair in pairs.split(",")]
     fields = {word: value for word, _, value in items}
     # Guards against a line that this balancer and a server would read differently.
     is_unambiguous = pairs.isprintable() and all(word.isidentifier() and found for word, found, _ in items)
     if not (name and key and is_unambiguous and len(fields) == len(items)):
-        raise Malformed(f"expected an id, a key and names with one value each, got {line[:80]!r}")
+        raise MalformedInputError(f"expected an id, a key and names with one value each, got {line[:80]!r}")
     remaining_time: float | None = None
     before, after = line, b""
     if "d" in fields:
         if not DEADLINE_PATTERN.fullmatch(fields["d"]) or not float(fields["d"]):
-            raise Malformed(f"expected d as milliseconds, got {fields['d'][:80]!r}")
+            raise MalformedInputError(f"expected d as milliseconds, got {fields['d'][:80]!r}")
         remaining_time = float(fields["d"]) / 1e3
         start = len(line) - len(pairs) + (0 if pairs.startswith("d=") else pairs.index(",d=") + 1) + 2
         before, after = line[:start], line[start + len(fields["d"]) :]
@@ -173,7 +173,7 @@
     """A report that is unreadable or has a negative value is dropped; the ending of its line still counts."""
     try:
         report = parse_report(rest.decode("ascii").strip(), "=")
-    except (Malformed, UnicodeDecodeError):
+    except (MalformedInputError, UnicodeDecodeError):
         return EndLine(ending, {}, True)
     is_valid = all(value >= 0 for value in report.values())
     return EndLine(ending, report if is_valid else {}, not is_valid)
--- a/pointgw/net/wire/server_list.py
+++ b/pointgw/net/wire/server_list.py
@@ -11,7 +11,7 @@
 import httptools
 
 from pointgw.interface import ServerEntry
-from pointgw.site import Malformed
+from pointgw.site import MalformedInputError
 
 LIST_PATH = "/registry/instances"
 MAX_BODY_BYTES = 4 * 1024 * 1024
@@ -43,7 +43,7 @@
 
 
 def parse_server_list(value: Any, names: DeploymentNames) -> ServerList:
-    """Reads the list in a decoded JSON value. Raises Malformed if there is none.
+    """Reads the list in a decoded JSON value. Raises MalformedInputError if there is none.
 
     An invalid entry does not hide the others: guards rule 3, as every entry of an answer counts as known.
     An entry without a name is left out; an invalid status or value is replaced by the most restrictive one
@@ -55,7 +55,7 @@
     try:
         version, is_complete, entries = int(value["index"]), bool(value["snapshot"]), iter(value["endpoints"])
     except (KeyError, TypeError, ValueError, OverflowError) as error:
-        raise Malformed(f"expected a list of servers: {type(error).__name__} {error}") from None
+        raise MalformedInputError(f"expected a list of servers: {type(error).__name__} {error}") from None
     for entry in entries:
         if not isinstance(entry, dict) or not isinstance(entry.get("name"), str):
             invalid_entries += 1
@@ -110,11 +110,11 @@
 
 
 def parse_server_list_body(data: bytes, names: DeploymentNames) -> ServerList:
-    """Reads the list in the body of an HTTP response. Raises Malformed."""
+    """Reads the list in the body of an HTTP response. Raises MalformedInputError."""
     try:
         return parse_server_list(json.loads(data), names)
     except (ValueError, RecursionError) as error:
-        raise Malformed(f"expected JSON: {error}") from None
+        raise MalformedInputError(f"expected JSON: {error}") from None
 
 
 def encode_list_request(host: str, version: int | None, wait: float) -> bytes:
@@ -129,8 +129,8 @@
 class Response:
     """Parses successive HTTP responses on a connection; `pop_complete` is true once for each complete one.
 
-    Raises Malformed on a response that is invalid, too large, or followed by more data: requests are sent one
-    at a time, so data beyond the response to the current one was not requested.
+    Raises MalformedInputError on a response that is invalid, too large, or followed by more data: requests
+    are sent one at a time, so data beyond the response to the current one was not requested.
     """
 
     def __init__(self) -> None:
@@ -141,15 +141,15 @@
         self.has_declared_length = False  # else the body lasts to the end of the connection
 
     def feed(self, data: bytes) -> None:
-        """Parses received bytes. Raises Malformed."""
+        """Parses received bytes. Raises MalformedInputError."""
         if not self.in_body:
             self.head_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            raise Malformed(f"expected HTTP: {error}") from None
+            raise MalformedInputError(f"expected HTTP: {error}") from None
         if not self.in_body and not self.is_complete and self.head_bytes > MAX_HEAD_BYTES:
-            raise Malformed(f"expected the head of a response within {MAX_HEAD_BYTES} bytes")
+            raise MalformedInputError(f"expected the head of a response within {MAX_HEAD_BYTES} bytes")
 
     def on_message_begin(self) -> None:
         if self.is_complete:
--- a/pointgw/net/wire/start_up.py
+++ b/pointgw/net/wire/start_up.py
@@ -8,7 +8,7 @@
 
 from pointgw.interface import Site
 from pointgw.net.wire.server_list import DeploymentNames, ServerList, parse_server_list
-from pointgw.site import Fields, Malformed, parse_site, read_seconds
+from pointgw.site import Fields, MalformedInputError, parse_site, read_seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 
 
 def parse_start_up_file(data: bytes) -> StartUpSettings:
-    """Reads a start-up file. Raises Malformed."""
+    """Reads a start-up file. Raises MalformedInputError."""
     try:
         start = json.loads(data)
         settings = start["settings"]
@@ -77,7 +77,7 @@
             drain_grace=read_seconds(fields, "rules.stopSendingWithin", 0.1),
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError) as error:
-        raise Malformed(f"expected the start-up JSON: {type(error).__name__} {error}") from None
+        raise MalformedInputError(f"expected the start-up JSON: {type(error).__name__} {error}") from None
 
 
 def _names(items: Any) -> tuple[str, ...]:
--- a/pointgw/simulator_adapter/codec.py
+++ b/pointgw/simulator_adapter/codec.py
@@ -7,7 +7,7 @@
 from pointgw.interface import Ending, Report, ServerEntry
 from pointgw.site import (
     Fields,
-    Malformed,
+    MalformedInputError,
     malformed_field,
     read_choice,
     read_float,
@@ -26,13 +26,13 @@
 
 
 def parse_line(line: str) -> tuple[str, Fields]:
-    """A line's word and its fields. Raises Malformed on a pair without '='."""
+    """A line's word and its fields. Raises MalformedInputError on a pair without '='."""
     word, *parts = line.split("\t")
     fields: Fields = {}
     for part in parts:
         name, separator, value = part.partition("=")
         if not separator or not name:
-            raise Malformed(f"expected name=value, got {part!r}")
+            raise MalformedInputError(f"expected name=value, got {part!r}")
         fields[name] = value
     return word, fields
 
--- a/pointgw/simulator_adapter/host.py
+++ b/pointgw/simulator_adapter/host.py
@@ -13,7 +13,7 @@
 from pointgw.interface import ServerEntry
 from pointgw.policy import Balancer, Server, Tunnel
 from pointgw.simulator_adapter import codec
-from pointgw.site import Fields, Malformed
+from pointgw.site import Fields, MalformedInputError
 
 
 def _format_ms(seconds: float) -> str:
@@ -67,26 +67,26 @@
             self.balancer.update_servers(entries, form != "delta", form == "cached", now)
 
     def find_server(self, fields: Fields) -> Server:
-        """The server that a line names. Raises Malformed if no list has named it."""
+        """The server that a line names. Raises MalformedInputError if no list has named it."""
         name = site.read_text(fields, "server")
         server = self.balancer.servers.get(name)
         if server is None:
-            raise Malformed(f"expected a server that a list has named, got {name!r}")
+            raise MalformedInputError(f"expected a server that a list has named, got {name!r}")
         return server
 
     def find_tunnel(self, fields: Fields) -> Tunnel:
-        """The tunnel that a line names. Raises Malformed if there is none."""
+        """The tunnel that a line names. Raises MalformedInputError if there is none."""
         name = site.read_text(fields, "xid")
         tunnel = self.tunnels.get(name)
         if tunnel is None:
-            raise Malformed(f"expected a tunnel that was handed in and is not over, got {name!r}")
+            raise MalformedInputError(f"expected a tunnel that was handed in and is not over, got {name!r}")
         return tunnel
 
     def new_tunnel(self, fields: Fields, deadline: float) -> Tunnel:
-        """Creates the tunnel that a line describes. Raises Malformed if its id is in use."""
+        """Creates the tunnel that a line describes. Raises MalformedInputError if its id is in use."""
         name = site.read_text(fields, "xid")
         if name in self.tunnels:
-            raise Malformed(f"expected a new tunnel, got {name!r} again")
+            raise MalformedInputError(f"expected a new tunnel, got {name!r} again")
         tunnel = self.balancer.new_tunnel(
             name,
             self.read_profile(fields),
@@ -117,10 +117,10 @@
         self.balancer.tunnel_inherited(tunnel, server, now)
 
     def read_profile(self, fields: Fields) -> int:
-        """The index of a tunnel's profile. Raises Malformed if out of range."""
+        """The index of a tunnel's profile. Raises MalformedInputError if out of range."""
         i = site.read_int(fields, "grade", 0)
         if not 0 <= i < len(self.balancer.profiles):
-            raise Malformed(f"expected grade under {len(self.balancer.profiles)}, got {i}")
+            raise MalformedInputError(f"expected grade under {len(self.balancer.profiles)}, got {i}")
         return i
 
     def on_under_way(self, fields: Fields, now: float) -> None:
@@ -129,10 +129,10 @@
         self.balancer.setup_opened(tunnel, self.read_setup_number(tunnel, fields), now)
 
     def read_setup_number(self, tunnel: Tunnel, fields: Fields) -> int:
-        """The number of a setup of the tunnel. Raises Malformed if out of range."""
+        """The number of a setup of the tunnel. Raises MalformedInputError if out of range."""
         i = site.read_int(fields, "roundNo")
         if not 0 <= i < len(tunnel.setups):
-            raise Malformed(f"expected roundNo of a setup that was made, got {i}")
+            raise MalformedInputError(f"expected roundNo of a setup that was made, got {i}")
         return i
 
     def on_heartbeat(self, fields: Fields, now: float) -> None:
@@ -207,22 +207,22 @@
         self.now = 0.0  # seconds
 
     def feed_line(self, line: str) -> str | None:
-        """Processes one line; returns the reply if it ends a batch. Raises Malformed."""
+        """Processes one line; returns the reply if it ends a batch. Raises MalformedInputError."""
         word, fields = codec.parse_line(line)
         if self.missing_entries:
             if word != "ENTRY":
-                raise Malformed(f"expected {self.missing_entries} more ENTRY, got {word!r}")
+                raise MalformedInputError(f"expected {self.missing_entries} more ENTRY, got {word!r}")
             self.incomplete_list.append(codec.read_entry(fields))
             self.missing_entries -= 1
             return None
         if word == "TURN":
             if self.turn is not None:
-                raise Malformed("expected OVER_TO_YOU before the next TURN")
+                raise MalformedInputError("expected OVER_TO_YOU before the next TURN")
             self.turn, self.now = site.read_int(fields, "turn"), site.read_seconds(fields, "time")
             self.current_balancer = None
             return None
         if self.turn is None:
-            raise Malformed(f"expected TURN, got {word!r}")
+            raise MalformedInputError(f"expected TURN, got {word!r}")
         if word == "OVER_TO_YOU":
             return self.finish_turn()
         if word == "INSTANCE":
@@ -235,16 +235,18 @@
         return None
 
     def handle_event(self, word: str, fields: Fields) -> None:
-        """Processes an event of the current balancer. Raises Malformed."""
+        """Processes an event of the current balancer. Raises MalformedInputError."""
         if self.current_balancer is None:
-            raise Malformed(f"expected INSTANCE before {word!r}")
+            raise MalformedInputError(f"expected INSTANCE before {word!r}")
         if word == "CONFIGURE":
             instance = Instance(fields, self.now)
             self.instances[self.current_balancer] = self.touched_instances[self.current_balancer] = instance
             return
         instance_or_none = self.instances.get(self.current_balancer)
         if instance_or_none is None:
-            raise Malformed(f"expected CONFIGURE for balancer {self.current_balancer} before {word!r}")
+            raise MalformedInputError(
+                f"expected CONFIGURE for balancer {self.current_balancer} before {word!r}"
+            )
         instance = instance_or_none
         if word == "DOWN":
             del self.instances[self.current_balancer]
@@ -255,12 +257,12 @@
             form = site.read_choice(fields, "form", codec.LIST_FORMS)
             table = site.read_int(fields, "table", -1)
             if form != "failed" and table not in self.server_lists:
-                raise Malformed(f"expected table of a CATALOG that came before, got {table}")
+                raise MalformedInputError(f"expected table of a CATALOG that came before, got {table}")
             instance.update_list(form, self.server_lists.get(table, []), self.now)
         elif word in EVENT_HANDLERS:
             EVENT_HANDLERS[word](instance, fields, self.now)
         else:
-            raise Malformed(f"expected an event, got {word!r}")
+            raise MalformedInputError(f"expected an event, got {word!r}")
 
     def finish_turn(self) -> str:
         """The reply to a batch: the actions of each balancer with events in it."""
@@ -289,7 +291,7 @@
             if not line and adapter.turn is None:
                 continue
             reply = adapter.feed_line(line)
-        except (Malformed, UnicodeDecodeError) as error:
+        except (MalformedInputError, UnicodeDecodeError) as error:
             shown = line if len(line) <= 200 else line[:200] + "..."
             print(f"pointgw.drill: line {line_number}: {error}: {shown!r}", file=err, flush=True)
             return 2
--- a/pointgw/site.py
+++ b/pointgw/site.py
@@ -32,17 +32,19 @@
 BOOLEANS = {"true": True, "false": False, "1": True, "0": False}
 
 
-class Malformed(Exception):
+class MalformedInputError(Exception):
     """Input that its protocol does not allow; the text says what was expected."""
 
 
-def malformed_field(name: str, value: object, expected: str) -> Malformed:
+def malformed_field(name: str, value: object, expected: str) -> MalformedInputError:
     """The error for a field `name` whose `value` is not what was `expected`."""
-    return Malformed(f"expected {name} as {expected}, got {'nothing' if value is None else repr(value)}")
+    return MalformedInputError(
+        f"expected {name} as {expected}, got {'nothing' if value is None else repr(value)}"
+    )
 
 
 def read_text(fields: Fields, name: str) -> str:
-    """A required field that is not empty. Raises Malformed, as do all readers."""
+    """A required field that is not empty. Raises MalformedInputError, as do all readers."""
     value = fields.get(name)
     if not value:
         raise malformed_field(name, value, "a non-empty value")
@@ -113,7 +115,7 @@
 def parse_report(pairs: str, separator: str) -> Report:
     """Reads a load report: name, `separator`, number, joined by commas; "-" or nothing is an empty report.
 
-    Unknown names are skipped. Raises Malformed.
+    Unknown names are skipped. Raises MalformedInputError.
     """
     report: Report = {}
     for pair in pairs.split(",") if pairs and pairs != "-" else ():
@@ -138,9 +140,10 @@
 
 
 def parse_site(settings: Fields) -> Site:
-    """Reads the settings of one balancer. Unknown keys are skipped, "null" is absent. Raises Malformed.
+    """Reads the settings of one balancer. Unknown keys are skipped, "null" is absent.
 
     Absent values default to the most restrictive: once-only tunnels, a polled list, slow starts.
+    Raises MalformedInputError.
     """
     fields = {name: value for name, value in settings.items() if value != "null"}
     profiles = tuple(
--- a/pointgw/testbed/clients.py
+++ b/pointgw/testbed/clients.py
@@ -16,7 +16,7 @@
 from pointgw.net.run import tcp
 from pointgw.net.run.lingering_close import close_gracefully
 from pointgw.net.wire.lines import LINE_END, pop_line
-from pointgw.site import Malformed
+from pointgw.site import MalformedInputError
 from pointgw.testbed import child_process
 from pointgw.testbed.demand import ClientArrival, client_arrivals, retry_delay
 from pointgw.testbed.frontend import BalancerHealth, HealthState, pick_balancer
@@ -213,7 +213,7 @@
         try:
             while (line := pop_line(self.buffer)) is not None:
                 self._handle_line(line)
-        except Malformed:
+        except MalformedInputError:
             self._record_further(b"over-long line")
 
     def _handle_line(self, line: bytes) -> None:
--- a/pointgw/testbed/server.py
+++ b/pointgw/testbed/server.py
@@ -17,7 +17,7 @@
 from pointgw.net.run import tcp
 from pointgw.net.run.lingering_close import close_gracefully
 from pointgw.net.wire.lines import LINE_END, MOVE, pop_line
-from pointgw.site import Malformed
+from pointgw.site import MalformedInputError
 from pointgw.testbed import child_process
 from pointgw.testbed.records import Fell, Gone, Said, Started, State, Took, Writer
 from pointgw.testbed.server_model import Health, Make, ServedTunnel, ServerModel
@@ -86,7 +86,7 @@
         try:
             while (line := pop_line(self.buffer)) is not None:
                 self._handle_line(line)
-        except Malformed:
+        except MalformedInputError:
             self.send(b"SYNTAX")
             self.close("server")
 
@@ -97,7 +97,7 @@
         if self.state is ConnectionState.OPEN:
             self.send_later(server.model.answer_delay(), line)
         elif self.state is ConnectionState.SETTING_UP:
-            raise Malformed("expected nothing before the answer")
+            raise MalformedInputError("expected nothing before the answer")
         elif line in (b"PING", b"STATS"):
             if server.model.health is not Health.HANGING:
                 report = b"" if line == b"PING" or not server.sends_reports else b" " + server.latest_report()
@@ -108,7 +108,7 @@
     def _begin_setup(self, line: bytes) -> None:
         words = line.split(b" ")
         if len(words) != 4 or words[0] != b"OPEN":
-            raise Malformed("expected OPEN ID KEY PAIRS")
+            raise MalformedInputError("expected OPEN ID KEY PAIRS")
         self.tunnel_id = words[1].decode()
         pairs = (pair.partition("=") for pair in words[3].decode().split(","))
         self.fields = {name: value for name, _, value in pairs}
--- a/tests/crossing/test_start.py
+++ b/tests/crossing/test_start.py
@@ -18,7 +18,7 @@
 from crossing.daemon import PORT, Daemon, run_with_daemon
 from crossing.world import Discovery, World
 from pointgw.net.wire.start_up import parse_start_up_file
-from pointgw.site import Malformed
+from pointgw.site import MalformedInputError
 
 
 def test_a_start_waits_for_an_address_in_use(tmp_path: Path) -> None:
@@ -61,5 +61,5 @@
     content = world.start_up_file().decode()[:-1] + f', "limits": {{"sockets": {sockets}}}}}'
     try:
         assert parse_start_up_file(content.encode()).descriptors >= 0
-    except Malformed as error:
+    except MalformedInputError as error:
         assert str(error).startswith("expected the start-up JSON")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,7 +16,7 @@
     parse_server_list_body,
 )
 from pointgw.net.wire.start_up import flatten, parse_start_up_file
-from pointgw.site import Malformed
+from pointgw.site import MalformedInputError
 
 OPEN = b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,again=1"
 NAMES = DeploymentNames(("a", "b"), ("m1", "m2"))
@@ -63,7 +63,7 @@
     + [b"OPEN 1 2 d=" + time for time in BAD_TIMES],
 )
 def test_a_bad_first_line_is_refused(line: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedInputError):
         lines.parse_client_line(line)
 
 
@@ -114,7 +114,7 @@
     assert lines.pop_line(buffer) == b"PING" and lines.pop_line(buffer) is None and buffer == b"OPEN"
     # Guards against a peer that fills the memory with an endless line.
     for too_long in (b"x" * lines.MAX_LINE_BYTES, b"x" * 5000 + b"\r\n"):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedInputError):
             lines.pop_line(bytearray(too_long))
 
 
@@ -150,7 +150,7 @@
     ],
 )
 def test_a_bad_list_is_refused(data: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedInputError):
         parse_server_list_body(data, NAMES)
 
 
@@ -161,18 +161,18 @@
     assert response.pop_complete() and response.status == 200 and response.body == b"{}"
     response.feed(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
     assert response.status == 503 and response.pop_complete() and not response.pop_complete()
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedInputError):
         response.feed(b"nonsense\r\n\r\n")
     # Guards the memory limit against an endless response.
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedInputError):
         Response().feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9999999\r\n\r\n" + b" " * (MAX_BODY_BYTES + 1))
     # Guards a watch against an unrequested response: it would be taken for the response to the next request.
     response_bytes = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedInputError):
         Response().feed(response_bytes + response_bytes)
     endless = Response()
     endless.feed(b"HTTP/1.1 200 OK\r\n")
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedInputError):
         for _ in range(MAX_HEAD_BYTES // 100 + 1):
             endless.feed(b"X-More: " + b"y" * 100 + b"\r\n")
 
@@ -221,5 +221,5 @@
 
 @pytest.mark.parametrize("data", [b"", b"{}", b'{"settings":{}}'])
 def test_a_bad_start_up_file_is_refused(data: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedInputError):
         parse_start_up_file(data)
