--- a/pointgw/net/run/snapshots.py
+++ b/pointgw/net/run/snapshots.py
@@ -53,7 +53,7 @@
             if restored is None:
                 store.release()
                 why = "snapshot of another installation: its zones or profiles differ"
-                _log.error("left untouched", extra={"fields": {"folder": folder, "why": why}})
+                _log.error("snapshot left untouched", extra={"fields": {"folder": folder, "why": why}})
                 return None
             fields: dict[str, object] = {
                 "folder": folder,
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -518,7 +518,7 @@
     store.save(snapshot_format.encode(make_snapshot()))
     store.release()
     assert SnapshotRunner.create(str(tmp_path), start_up_settings()) is None
-    assert "left untouched" in [record.getMessage() for record in caplog.records]
+    assert "snapshot left untouched" in [record.getMessage() for record in caplog.records]
     assert SnapshotStore(str(tmp_path)).load().snapshot == make_snapshot()
 
 
