--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -50,8 +50,8 @@
         policy_results = [r for r in results if r.policy == policy]
         broken = sorted({rule for r in policy_results for rule in r.breaches})
         rules = ", ".join(map(str, broken)) or "none judged"
-        verdict = "" if all(r.kept for r in policy_results) else f" (broken: {rules})"
-        cells.append(spread(list(service[policy].values())).text() + verdict)
+        broken_text = "" if all(r.kept for r in policy_results) else f" (broken: {rules})"
+        cells.append(spread(list(service[policy].values())).text() + broken_text)
         notes += [f"{r.scenario} {policy} seed {r.seed}: {line}" for r in policy_results for line in r.strain]
     policy_results = [r for r in results if r.policy == policies[0]]
     cells.append(f"{1e3 * max(r.setups.get('p99', 0.0) for r in policy_results):.0f}")
--- a/pointgw/cluster/members.py
+++ b/pointgw/cluster/members.py
@@ -2,7 +2,7 @@
 
 In each period one other member is pinged, all of them in turn in random order. If it does not answer, some
 others are asked to ping it; without any answer by the end of the period it becomes suspect, and dead once the
-suspicion has timed out. A suspect is told so by the next datagram to it, and refutes the suspicion with a
+suspicion has timed out. A suspect is notified by the next datagram to it, and refutes the suspicion with a
 higher incarnation. Lifeguard: a balancer whose own pings go unanswered raises its health score, and probes
 and suspects more slowly; a suspicion times out late while one member alone holds it, and sooner with each
 confirmation. A process that was paused discards its old suspicions before it acts.
@@ -32,7 +32,7 @@
 # death a dead member gets a HELLO in every period.
 PAUSE_PERIODS = 8.0
 DEAD_HELLO_PERIODS = 10  # periods, on average, between two HELLOs to members that are dead or have left
-HELLOS_PER_PERIOD = 4  # HELLOs in a period to members that were never heard from
+HELLOS_PER_PERIOD = 4  # HELLOs in a period to members without any contact so far
 MAX_HELLO_ROUNDS = 4  # to all of these, as datagrams get lost; afterwards they are treated as dead
 MAX_UPDATES = 6  # updates in a datagram
 
@@ -73,9 +73,9 @@
     """What this balancer knows of another one."""
 
     index: int
-    state: MemberState = MemberState.DEAD  # until it is heard from
+    state: MemberState = MemberState.DEAD  # until the first contact
     incarnation: int = 0
-    run_id: int = 0  # of its present process; 0: never heard from
+    run_id: int = 0  # of its present process; 0: no contact yet
     zone: int = -1  # as it reports; -1: unknown
     last_sequence: int = -1  # highest sequence number received of that run
     missed_pings: int = 0  # consecutive own pings without an answer
@@ -133,7 +133,7 @@
     last_false_death_at: float = -inf
     change_count: int = 0  # changes of the set of live members
     map_mismatches: dict[int, int] = field(default_factory=dict)  # members' region map digests that differ
-    uncontacted: list[int] = field(default_factory=list)  # never heard from, to be sent a HELLO
+    uncontacted: list[int] = field(default_factory=list)  # no contact yet, to be sent a HELLO
     hello_rounds: int = 0
 
     def __post_init__(self) -> None:
@@ -159,9 +159,9 @@
         return {self.own_index, *(m.index for m in self.peers.values() if m.state is MemberState.ALIVE)}
 
     def known_members(self) -> list[int]:
-        """Members that were ever heard from and have not left, with the own one, sorted."""
-        heard = [m.index for m in self.peers.values() if m.run_id and m.state is not MemberState.LEFT]
-        return sorted([*heard, self.own_index])
+        """Members that were ever in contact and have not left, with the own one, sorted."""
+        known = [m.index for m in self.peers.values() if m.run_id and m.state is not MemberState.LEFT]
+        return sorted([*known, self.own_index])
 
     def zone_of(self, index: int) -> int:
         """The zone that a member reports; -1: unknown."""
@@ -380,7 +380,7 @@
             return
         member = self.peers.get(update.member)
         if member is None or not member.run_id:
-            return  # never heard from directly: updates of others don't add members
+            return  # no direct contact yet: updates of others don't add members
         if update.incarnation < member.incarnation:
             return
         is_newer = update.incarnation > member.incarnation
@@ -456,7 +456,7 @@
         )[:MAX_UPDATES]
         about_receiver = self.queued_updates.get(receiver)
         if member.state in (MemberState.SUSPECT, MemberState.DEAD) and member.run_id:
-            # The receiver is told first that it is held to be suspect or dead, so that it can refute it.
+            # The receiver is notified first that it is held to be suspect or dead, so that it can refute it.
             chosen = [c for c in chosen if c is not about_receiver][: MAX_UPDATES - 1]
             first = wire.MemberUpdate(receiver, member.state.wire_code, member.incarnation, self.own_index)
             updates = (first, *(c.update for c in chosen))
--- a/pointgw/command/rig.py
+++ b/pointgw/command/rig.py
@@ -114,9 +114,9 @@
 def check_again(folder: str) -> int:
     """Checks the records of an earlier run and prints the result; returns the exit code."""
     run_records, run_meta = records.read(Path(folder)), rig_meta.read(Path(folder))
-    verdict = check_records(run_records, run_meta)
-    click.echo("\n".join(format_result(verdict)))
-    return 0 if verdict.passed and verdict.tunnels_checked else 1
+    check_result = check_records(run_records, run_meta)
+    click.echo("\n".join(format_result(check_result)))
+    return 0 if check_result.passed and check_result.tunnels_checked else 1
 
 
 def show(path: str, other_path: str | None, as_json: bool) -> int:
--- a/pointgw/net/core/guard.py
+++ b/pointgw/net/core/guard.py
@@ -125,7 +125,7 @@
         return allowed
 
     def may_refuse(self, request: int) -> bool:
-        """Whether the client may be told that it can safely retry."""
+        """Whether the client may be answered that it can safely retry."""
         guarded = self.requests.get(request)
         return guarded is None or self._check(
             self._is_harmless_to_refuse(guarded), Violation.REFUSED_AFTER_RUN
--- a/pointgw/net/run/server.py
+++ b/pointgw/net/run/server.py
@@ -20,7 +20,8 @@
 
 class ServerConnection(asyncio.Protocol):
     """One setup on a connection of its own. Only `write_request` writes the request, once the reducer has
-    been told that the connection is up; before that nothing was sent, and the setup can be dropped safely.
+    been notified that the connection is up; before that nothing was sent, and the setup can be dropped
+    safely.
     """
 
     __slots__ = (
--- a/pointgw/recovery/leases.py
+++ b/pointgw/recovery/leases.py
@@ -1,4 +1,4 @@
-"""Leases: shares of the slow-start budget, lent for a short time. No I/O, no clock: `now` is passed in.
+"""Leases: shares of the slow-start budget, granted for a short time. No I/O, no clock: `now` is passed in.
 
 Rule 4 gives each of N balancers 1/N of what a cold server may get. If few balancers have waiting tunnels,
 nearly all of it lies idle. A balancer without waiting tunnels (the lessor) grants its share to one that
--- a/pointgw/testbed/plot.py
+++ b/pointgw/testbed/plot.py
@@ -39,9 +39,9 @@
         for axis in axes:
             axis.axvspan(begin, max(end, begin + 0.15), color=f"C{number % 8 + 1}", alpha=0.13)
         axes[0].text(begin, 0.04 + 0.09 * (number % 5), what, fontsize=8)
-    verdict = "rules kept" if all(r.kept for r in results) else "RULES BROKEN"
+    rules_text = "rules kept" if all(r.kept for r in results) else "RULES BROKEN"
     service = sum(r.service for r in results) / len(results)
-    axes[0].set_title(f"{first.scenario}: service {service:.3f}, {verdict}")
+    axes[0].set_title(f"{first.scenario}: service {service:.3f}, {rules_text}")
     axes[0].legend(fontsize=8, loc="lower right")
     figure.savefig(path, dpi=110)
     plt.close(figure)
--- a/tests/fleet/case_runner.py
+++ b/tests/fleet/case_runner.py
@@ -56,14 +56,14 @@
 
     meta: Meta
     records: list[rec.AnyRecord]
-    verdict: CheckResult
+    check_result: CheckResult
     result: Result
 
     def check(self, judged: int) -> None:
         """Asserts that no rule was violated and no cold server overloaded, judged by more than so many
         tunnels."""
-        assert self.verdict.passed and not self.overloaded_servers(), self.result.verdict
-        assert self.verdict.tunnels_checked > judged
+        assert self.check_result.passed and not self.overloaded_servers(), self.result.verdict
+        assert self.check_result.tunnels_checked > judged
 
     def overloaded_servers(self) -> list[str]:
         """Cold servers that were overloaded."""
@@ -120,8 +120,8 @@
                     scenario, case_folder, run_number=os.getpid() + index, on_balancer_down=case.while_down
                 ).execute()
                 records = rec.read(case_folder)
-                verdict = check_records(records, meta)
-                return name, CaseRun(meta, records, verdict, compute_result(records, meta, verdict))
+                check_result = check_records(records, meta)
+                return name, CaseRun(meta, records, check_result, compute_result(records, meta, check_result))
 
         return dict(await asyncio.gather(*(run_one(i, *item) for i, item in enumerate(cases.items()))))
 
--- a/tests/fleet/test_talk.py
+++ b/tests/fleet/test_talk.py
@@ -175,8 +175,8 @@
     assert all(closed_zones_logged(folder, n)[-1] == "a" for n in range(6))
     for number in (1, 2, 4, 5):
         lines = cluster_log_entries(folder, number)
-        heard = next(line for line in lines if line["closed"] == "a")
-        assert float(heard["at"]) - float(lines[0]["at"]) < 2.0, lines
+        first_closed = next(line for line in lines if line["closed"] == "a")
+        assert float(first_closed["at"]) - float(lines[0]["at"]) < 2.0, lines
 
 
 def test_two_zones_short_of_servers_stay_open_and_credit_decides(
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -42,8 +42,8 @@
     failed = 0
     for seed in range(int(first), int(end)):
         outcome = run_seed(seed, options, only)
-        verdict = "late" if outcome.loop_late else "passed" if outcome.passed else "FAILED"
-        print(f"seed {seed}: {verdict} {outcome.figures}", flush=True)
+        outcome_text = "late" if outcome.loop_late else "passed" if outcome.passed else "FAILED"
+        print(f"seed {seed}: {outcome_text} {outcome.figures}", flush=True)
         failed += not outcome.passed
         if not outcome.passed:
             print(f"  logs: {outcome.folder}\n  schedule: {outcome.schedule}")
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -146,11 +146,11 @@
         world.start(number)
     world.run(8.0)
     before = {n: dict(node.observations.entries) for n, node in world.nodes.items()}
-    heard = {n: node.counters["heard"] for n, node in world.nodes.items()}
+    received = {n: node.counters["heard"] for n, node in world.nodes.items()}
     for to, data in old + recorded[-80:-40]:  # the very last ones are still in flight
         world.nodes[to].receive(data, world.now)
     assert world.closed_zones() == {0}
-    assert {n: node.counters["heard"] for n, node in world.nodes.items()} == heard
+    assert {n: node.counters["heard"] for n, node in world.nodes.items()} == received
     assert {n: dict(node.observations.entries) for n, node in world.nodes.items()} == before
 
 
--- a/tests/test_invariant_checker.py
+++ b/tests/test_invariant_checker.py
@@ -13,7 +13,7 @@
 
 PROFILES = (
     Profile("safe"), Profile("once", semantics="side_effect"),
-    Profile("told", semantics="token", group="zone", window=1.0),
+    Profile("token", semantics="token", group="zone", window=1.0),
 )  # fmt: skip
 UP = "UP s-0-1-1"
 
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "second", "verdict"),
+    ("first", "second", "expected"),
     [
         ({1: 0.9, 2: 0.8, 3: 0.85}, {1: 0.95, 2: 0.86, 3: 0.9}, "higher"),
         ({1: 0.9, 2: 0.8, 3: 0.85}, {1: 0.91, 2: 0.78, 3: 0.86}, "within the noise"),
@@ -171,9 +171,9 @@
     ],
 )
 def test_a_difference_smaller_than_the_noise_is_reported_as_such(
-    first: dict[int, float], second: dict[int, float], verdict: str
+    first: dict[int, float], second: dict[int, float], expected: str
 ) -> None:
-    assert results.compare(first, second).verdict == verdict
+    assert results.compare(first, second).verdict == expected
 
 
 def test_a_testbed_process_that_is_the_bottleneck_is_named() -> None:
@@ -212,9 +212,9 @@
 def test_a_run_with_two_killed_processes_keeps_the_rules_and_leaves_no_process(tmp_path: Path) -> None:
     meta = asyncio.run(ScenarioRun(SHORT, tmp_path).execute())
     found = rec.read(tmp_path)
-    verdict = check_records(found, meta)
-    assert verdict.passed and verdict.tunnels_checked > 60, verdict.violations
-    result = results.compute_result(found, meta, verdict)
+    check_result = check_records(found, meta)
+    assert check_result.passed and check_result.tunnels_checked > 60, check_result.violations
+    result = results.compute_result(found, meta, check_result)
     assert result.service > 0.2 and result.answers["opened"] > 60 and result.setups["p50"] < 1.0
     assert [recovery.what for recovery in result.recovery] == ["server-kill", "balancer-kill"]
     assert not processes_of(tmp_path)
