--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -523,18 +523,24 @@
                 server.unreported_placements.clear()
                 balancer._update_load_estimate(server)
                 sent.append(now)
-        share = [
+        warm_shares = [
             balancer.slow_start_share + (1 - balancer.slow_start_share) * step / 10 / balancer.warm_up_window
             for step in range(200)
         ]
     assert len(sent) >= 1.1 * fill * size
-    for step, part in enumerate(share):
-        at = 100.0 + step / 10
+    for step, warm_share in enumerate(warm_shares):
+        begin = 100.0 + step / 10
         limit = (
-            balancer.overload_factor * part * fill * size / balancer.warm_up_window * balancer.overload_window
+            balancer.overload_factor
+            * warm_share
+            * fill
+            * size
+            / balancer.warm_up_window
+            * balancer.overload_window
         )
         assert (
-            sum(at <= one < at + balancer.overload_window for one in sent) <= 1.2 * limit + 1.5 * limit**0.5
+            sum(begin <= sent_at < begin + balancer.overload_window for sent_at in sent)
+            <= 1.2 * limit + 1.5 * limit**0.5
         )
 
 
@@ -887,7 +893,10 @@
         )
         limit = warm_limit * share * balancer.overload_window
         # Two standard deviations are allowed for chance over 80 windows.
-        assert sum(begin <= at < begin + balancer.overload_window for at in sent) <= limit + 2.0 * limit**0.5
+        assert (
+            sum(begin <= sent_at < begin + balancer.overload_window for sent_at in sent)
+            <= limit + 2.0 * limit**0.5
+        )
 
 
 @pytest.mark.parametrize(
@@ -897,8 +906,10 @@
     starts: tuple[float, ...], pause: float
 ) -> None:
     balancer, _, (server, _) = make_balancer([0.1, 0.1])
-    for at in starts:
-        balancer.update_servers([ServerEntry(server.name, "active", 0, 0, 0, at, 1.0)], False, False, at)
+    for start in starts:
+        balancer.update_servers(
+            [ServerEntry(server.name, "active", 0, 0, 0, start, 1.0)], False, False, start
+        )
     balancer.servers[server.name].warm_at = 0.0  # only the pause matters here
     assert server.unstable_until == pytest.approx(starts[-1] + pause)
     for later, ready in ((pause - 0.5, False), (pause + 0.5, True)):
@@ -909,9 +920,9 @@
 
 
 @pytest.mark.parametrize(
-    ("failed", "at", "may_send"), [(1, 100.1, True), (2, 100.1, False), (2, 100.6, True)]
+    ("failed", "now", "may_send"), [(1, 100.1, True), (2, 100.1, False), (2, 100.6, True)]
 )
-def test_one_setup_at_a_time_while_none_opens(failed: int, at: float, may_send: bool) -> None:
+def test_one_setup_at_a_time_while_none_opens(failed: int, now: float, may_send: bool) -> None:
     # Guards against a setup for each server and tunnel while all servers are slow or this balancer is cut
     # off.
     balancer, host, servers = make_balancer([0.1] * 8)
@@ -920,11 +931,11 @@
         balancer._send_setup(tunnel, server, 100.0)
         balancer.retry_budget = 0.0
         balancer.setup_ended(tunnel, 0, "timeout", False, {}, 100.0)
-    assert bool(balancer._select_candidates(make_tunnel(balancer), at)) is may_send
-    balancer._send_setup(make_tunnel(balancer), servers[7], at)
-    assert bool(balancer._select_candidates(make_tunnel(balancer), at)) is (failed < 2)
-    balancer.setup_opened(host.requests[-1][1], 0, at)
-    assert balancer._select_candidates(make_tunnel(balancer), at)
+    assert bool(balancer._select_candidates(make_tunnel(balancer), now)) is may_send
+    balancer._send_setup(make_tunnel(balancer), servers[7], now)
+    assert bool(balancer._select_candidates(make_tunnel(balancer), now)) is (failed < 2)
+    balancer.setup_opened(host.requests[-1][1], 0, now)
+    assert balancer._select_candidates(make_tunnel(balancer), now)
 
 
 def test_reset_tunnel_has_its_server_probed_at_once() -> None:
@@ -1121,22 +1132,22 @@
     assert ("probe", server) in host.requests and ("probe", other) not in host.requests
 
 
-@pytest.mark.parametrize(("reported", "most"), [(0.62, 20), (0.64, 10), (0.1, 60)])
-def test_capacity_reported_to_many_balancers_is_not_filled_by_each(reported: float, most: int) -> None:
+@pytest.mark.parametrize(("reported", "max_sent"), [(0.62, 20), (0.64, 10), (0.1, 60)])
+def test_capacity_reported_to_many_balancers_is_not_filled_by_each(reported: float, max_sent: int) -> None:
     # Guards against overload: each of 40 balancers with queued tunnels sent one for the same little capacity.
     sent = 0
     for seed in range(40):
         balancer, _, (server, *full) = make_balancer([0.5, 0.9, 0.9, 0.9], balancer_count=40)
         balancer.uniform, balancer.load_per_tunnel, balancer.probe_credit = Random(seed).uniform, 0.03, 1.0
-        for one in (server, *full):
-            one.reported_load = one.reported_busy or 0.0
-            one.estimated_load = 0.9
+        for each in (server, *full):
+            each.reported_load = each.reported_busy or 0.0
+            each.estimated_load = 0.9
         for _ in range(2):
             balancer._enqueue(make_tunnel(balancer), 100.0)
         balancer.probe_ended(server, "ok", {"load": reported}, 100.0)
         balancer._serve_queue(100.0)
         sent += len(server.unreported_placements)
-    assert 1 <= sent <= most
+    assert 1 <= sent <= max_sent
 
 
 def test_single_balancer_or_empty_queue_assumes_no_peer_load() -> None:
@@ -1356,10 +1367,10 @@
 
 
 @pytest.mark.parametrize(
-    ("recent_rate", "renewing", "most"), [(0.0, True, 200), (1.0, False, 200), (1.0, True, 130)]
+    ("recent_rate", "renewing", "max_sent"), [(0.0, True, 200), (1.0, False, 200), (1.0, True, 130)]
 )
 def test_some_balancers_take_a_server_as_full_while_tunnels_arrive_everywhere(
-    recent_rate: float, renewing: bool, most: int
+    recent_rate: float, renewing: bool, max_sent: int
 ) -> None:
     # Guards against overload: one tunnel arrived at each of 200 balancers, and all took one server with
     # capacity for 17.
@@ -1373,13 +1384,13 @@
             recent_rate,
         )
         balancer.is_fleet_renewing = renewing
-        for one in full:
-            one.reported_load = one.estimated_load = 0.9
+        for other in full:
+            other.reported_load = other.estimated_load = 0.9
         server.reported_at = server.answered_at = 90.0
         balancer._place(make_tunnel(balancer), 100.0)
         balancer.probe_ended(server, "ok", {"load": 0.3}, 100.0)
         sent += len(server.unreported_placements)
-    assert 50 < sent <= most
+    assert 50 < sent <= max_sent
 
 
 @pytest.mark.parametrize(
