--- a/tests/group_affinity_world.py
+++ b/tests/group_affinity_world.py
@@ -1,9 +1,9 @@
 """Simulates a fleet under a rolling release, with the real decisions on a virtual clock.
 
 Tunnels belong to groups, and a server pays for each of its groups once. A server that is replaced sends its
-clients away at once; they return at a random balancer within seconds, as declined clients do. A server opens
-a tunnel 20 ms after the setup; probes report, after the same time, the cost of its tunnels and groups over
-its capacity at its age.
+clients away at once; they return at a random balancer within about a second, as declined clients do sooner.
+A server opens a tunnel 20 ms after the setup; probes report, after the same time, the cost of its tunnels and
+groups over its capacity at its age.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 STEP_SECONDS = 0.1  # between two timers
 ANSWER_SECONDS = 0.02  # duration of a probe or a setup
-RETRY_SECONDS = 0.4  # mean time after which a client that was sent away returns
+RETRY_SECONDS = 0.4  # mean time after which a declined or migrated client returns; doubled after a drain
 WARM_CAPACITY = 40.0  # of a warm server, in tunnels
 GROUP_COST = 3.0  # of one group at a server, in tunnels
 SLOW_START_SHARE = 0.4
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -39,12 +39,14 @@
     return reducer
 
 
-def open_request(at: str = "", remaining_time: float | None = 3.0, name: str = "id") -> OpenRequest:
-    return OpenRequest(name, "key", "chat", "acme", "", remaining_time, False, at, b"OPEN", b"")
+def open_request(server_name: str = "", remaining_time: float | None = 3.0, name: str = "id") -> OpenRequest:
+    return OpenRequest(name, "key", "chat", "acme", "", remaining_time, False, server_name, b"OPEN", b"")
 
 
-def arrive(reducer: Reducer, client: int = 1, now: float = 100.0, at: str = "") -> list[effects.Effect]:
-    return reducer.dispatch(ev.ClientArrived(client, open_request(at, name=f"id{client}")), now)
+def arrive(
+    reducer: Reducer, client: int = 1, now: float = 100.0, server_name: str = ""
+) -> list[effects.Effect]:
+    return reducer.dispatch(ev.ClientArrived(client, open_request(server_name, name=f"id{client}")), now)
 
 
 def opened(reducer: Reducer, client: int = 1) -> None:
@@ -125,14 +127,14 @@
 
 def test_a_tunnel_from_before_the_start_goes_to_its_server() -> None:
     reducer = make_reducer()
-    (connect,) = arrive(reducer, at="s1")
+    (connect,) = arrive(reducer, server_name="s1")
     assert isinstance(connect, effects.Connect)
     assert connect.address == ("127.0.0.9", 9001) and connect.remaining_time is None
     (again,) = reducer.dispatch(ev.SetupEnded(1, 0, EndLine("no-connection", {}), False), 101.0)
     assert isinstance(again, effects.Connect) and again.delay > 0
     assert reducer.dispatch(ev.SetupOpened(1, 0), 102.0) == [effects.RelayTunnel(1, 0)]
     assert list(reducer.balancer.servers["s1"].tunnels) == [reducer.clients[1].tunnel]
-    arrive(reducer, 2, at="s1")
+    arrive(reducer, 2, server_name="s1")
     assert reducer.dispatch(
         ev.SetupEnded(2, 0, EndLine("full", {}), False), 101 + INHERITED_TIMEOUT_SECONDS
     ) == [effects.Reply(2, Failure())]
@@ -140,7 +142,10 @@
 
 @pytest.mark.parametrize(
     "line",
-    [open_request(at="s9"), OpenRequest("id", "key", "other", "acme", "", 3.0, False, "", b"OPEN", b"")],
+    [
+        open_request(server_name="s9"),
+        OpenRequest("id", "key", "other", "acme", "", 3.0, False, "", b"OPEN", b""),
+    ],
 )
 def test_an_unknown_profile_or_server_is_closed_with_error(line: OpenRequest) -> None:
     assert make_reducer().dispatch(ev.ClientArrived(1, line), 100.0) == [effects.Reply(1, Failure())]
@@ -178,11 +183,11 @@
         effects.SwitchDiscovery(other, names),
         effects.RequestList(None, 0.0),
     ]
-    gone = [effects.ForgetServer(server.name) for server in reducer.balancer.active_servers]
-    assert len(gone) == 2
+    forgotten = [effects.ForgetServer(server.name) for server in reducer.balancer.active_servers]
+    assert len(forgotten) == 2
     assert reducer.dispatch(ev.ListReceived(ServerList(2, True, (), ())), 101.1) == [
         effects.RequestList(2, reducer.watch_wait),
-        *gone,
+        *forgotten,
     ]
 
 
@@ -197,9 +202,9 @@
     assert [(e.version, e.wait) for e in again if isinstance(e, effects.RequestList)] == [(9, 0.0)]
 
 
-@pytest.mark.parametrize("took", [0.0, 0.5, 3.0, LIST_RESPONSE_SECONDS])
+@pytest.mark.parametrize("request_seconds", [0.0, 0.5, 3.0, LIST_RESPONSE_SECONDS])
 def test_a_reachable_discoverys_list_is_received_before_its_deadline_whatever_failed_before(
-    took: float,
+    request_seconds: float,
 ) -> None:
     # Discovery becomes reachable just after a request was sent that fails: the next answer is in time.
     reducer = make_reducer()
@@ -210,12 +215,12 @@
             e for e in reducer.dispatch(ev.ListRequestFailed(), now) if isinstance(e, effects.RequestList)
         ]
         assert request.wait == 0.0
-        if pauses:  # the request before was sent `took` seconds ago
-            assert took + request.delay + WATCH_RESPONSE_SECONDS <= LIST_DEADLINE_SECONDS + 1e-9
+        if pauses:  # the request before was sent `request_seconds` seconds ago
+            assert request_seconds + request.delay + WATCH_RESPONSE_SECONDS <= LIST_DEADLINE_SECONDS + 1e-9
         pauses.append(request.delay)
-        now += request.delay + took
+        now += request.delay + request_seconds
     assert len(set(pauses)) == len(pauses)
-    if took < 1.0:  # a discovery that refuses requests at once is spared
+    if request_seconds < 1.0:  # a discovery that refuses requests at once is spared
         assert pauses[0] <= FIRST_RETRY_PAUSE_SECONDS and sum(pauses[-4:]) / 4 > 2.0
     reducer.dispatch(ev.ListReceived(ServerList(9, False, (), ())), now)
     (request,) = [
@@ -283,27 +288,29 @@
 
 
 def test_balancers_that_stop_at_once_spread_their_migrations_over_the_time_they_have() -> None:
-    # Guards against balancers with few tunnels each that migrate one a round: all were migrated in the first
-    # three rounds, and a service that servers query at a setup (a session store) got a tenth of the fleet's
+    # Guards against balancers with few tunnels each that migrate one every 0.1 s: all were migrated in the
+    # first 0.3 s, and a service that servers query at a setup (a session store) got a tenth of the fleet's
     # clients at once.
-    at: list[float] = []
+    migrated_at: list[float] = []
     for seed in range(40):
         reducer = make_reducer(seed=seed)
         for client in range(3):
             opened(reducer, client)
         for step in range(60):
             issued = reducer.dispatch(ev.StopRequested(), 100.2 + step * 0.1)
-            at += [step * 0.1] * sum(isinstance(e, effects.MigrateClient) for e in issued)
+            migrated_at += [step * 0.1] * sum(isinstance(e, effects.MigrateClient) for e in issued)
             if any(isinstance(e, effects.ExitProcess) for e in issued):
                 break
     assert (
-        len(at) == 120 and min(at) >= STOP_ACCEPT_SECONDS - 0.01 and max(at) < 3.0 + 0.7 - STOP_SETTLE_SECONDS
+        len(migrated_at) == 120
+        and min(migrated_at) >= STOP_ACCEPT_SECONDS - 0.01
+        and max(migrated_at) < 3.0 + 0.7 - STOP_SETTLE_SECONDS
     )
-    span = max(at) - STOP_ACCEPT_SECONDS
-    busiest = max(sum(begin <= t < begin + span / 4 for t in at) for begin in at)
+    span = max(migrated_at) - STOP_ACCEPT_SECONDS
+    busiest = max(sum(begin <= t < begin + span / 4 for t in migrated_at) for begin in migrated_at)
     assert span > 0.8 * (3.0 + 0.7 - STOP_ACCEPT_SECONDS - STOP_SETTLE_SECONDS) and busiest <= 0.4 * len(
-        at
-    ), sorted(at)
+        migrated_at
+    ), sorted(migrated_at)
 
 
 def test_a_stop_answers_clients_still_being_set_up() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize(
-    ("entry", "read"),
+    ("entry", "expected"),
     [
         ('{"name":"s"}', ("s", "leaving", -1, 0, -1, 0.0, 1.0)),
         ('{"name":"s","status":"up","address":"127.0.0.1:99999"}', ("s", "active", -1, 0, -1, 0.0, 1.0)),
@@ -193,7 +193,7 @@
     ],
 )
 def test_an_invalid_entry_is_read_as_the_most_restrictive_and_hides_no_other(
-    entry: str, read: tuple[object, ...] | None
+    entry: str, expected: tuple[object, ...] | None
 ) -> None:
     valid = '{"name":"t","status":"draining","address":"127.0.0.1:7"}'
     server_list = parse_server_list_body(
@@ -201,7 +201,7 @@
     )
     assert server_list.invalid_entries == 1 and server_list.addresses == (("t", "127.0.0.1", 7),)
     assert server_list.servers[-1].state == "leaving" and server_list.servers[-1].server == "t"
-    assert server_list.servers[:-1] == (() if read is None else (read,))
+    assert server_list.servers[:-1] == (() if expected is None else (expected,))
 
 
 @pytest.mark.parametrize(
