--- a/pointgw/fault_proxy/schedule.py
+++ b/pointgw/fault_proxy/schedule.py
@@ -98,7 +98,8 @@
 
 def applies_to(rule: Rule, number: int | None, rng: Random) -> bool:
     """Whether a rule applies to a connection; `number` is None if it is known by its first line."""
-    selected = rng.random() < rule.share  # drawn for every connection, whether its number fits or not
+    # The generator is the rule's own, so that its draw does not shift those of other rules.
+    selected = rng.random() < rule.share
     if number is None:
         return selected
     return selected and number >= rule.first and (number - rule.first) % rule.every == 0
@@ -131,7 +132,7 @@
     def next_time(self) -> float | None:
         """Time of the next rule with `after_seconds`, in seconds since the connection began; None if none."""
         times = [s.rule.after_seconds for s in self.rules if s.phase is RulePhase.WAITING]
-        return min((at for at in times if at is not None), default=None)
+        return min((time for time in times if time is not None), default=None)
 
     def advance(self, now: float) -> list[Step]:
         """Steps that are due by time, without any byte received."""
@@ -144,16 +145,16 @@
         """Steps for bytes received in this direction at time `now`."""
         self.now = now
         steps: list[Step] = []
-        at = 0
-        while at < len(data) and not self.is_finished:
+        position = 0
+        while position < len(data) and not self.is_finished:
             self._start_due_rules(steps)
             if self.is_finished:
                 break
             if self.at_line_start:
                 self._start_line()
-            end = self._run_end(data, at)
-            self._process(data[at:end], steps)
-            at = end
+            end = self._run_end(data, position)
+            self._process(data[position:end], steps)
+            position = end
         if not self.is_finished:
             self._start_due_rules(steps)
         return _coalesced(steps)
@@ -174,14 +175,14 @@
             steps.append(HalfClose())
         return _coalesced(steps)
 
-    def _run_end(self, data: bytes, at: int) -> int:
-        """End of the bytes from `at` that are treated alike: a line's end or the next rule's byte."""
-        newline = data.find(b"\n", at)
+    def _run_end(self, data: bytes, start: int) -> int:
+        """End of the bytes from `start` that are treated alike: a line's end or the next rule's byte."""
+        newline = data.find(b"\n", start)
         end = len(data) if newline < 0 else newline + 1
         for state in self.rules:
             moment = state.rule.after_bytes
             if state.phase is RulePhase.WAITING and moment is not None and self.byte < moment:
-                end = min(end, at + moment - self.byte)
+                end = min(end, start + moment - self.byte)
         return end
 
     def _start_due_rules(self, steps: list[Step]) -> None:
@@ -241,20 +242,20 @@
         if not state.remaining_times:
             state.change_phase(RulePhase.EXHAUSTED)
 
-    def _process(self, run: bytes, steps: list[Step]) -> None:
+    def _process(self, data: bytes, steps: list[Step]) -> None:
         """Forwards, holds or drops bytes of one line."""
-        self.byte += len(run)
-        ends = run[-1] == NEWLINE
+        self.byte += len(data)
+        ends_line = data[-1] == NEWLINE
         if self.is_holding and not self.is_dropping:
-            self.held_line += run
-            if ends or len(self.held_line) > MAX_HELD_BYTES:
-                line = self._modified(bytes(self.held_line)) if ends else bytes(self.held_line)
+            self.held_line += data
+            if ends_line or len(self.held_line) > MAX_HELD_BYTES:
+                line = self._modified(bytes(self.held_line)) if ends_line else bytes(self.held_line)
                 self.held_line.clear()
                 self.is_holding = False
                 self._forward(line, steps)
         elif not self.is_dropping:
-            self._forward(run, steps)
-        if ends:
+            self._forward(data, steps)
+        if ends_line:
             self.line += 1
             self.at_line_start = True
 
--- a/pointgw/testbed/clients.py
+++ b/pointgw/testbed/clients.py
@@ -116,12 +116,14 @@
         self.retry_after(self.clients.rng.uniform(*REJOIN_DELAY_SECONDS))
 
     def is_served(self, now: float) -> bool:
-        """Whether its tunnel is open and its lines are answered within the setup goal."""
+        """Whether its tunnel is open and its lines are answered within the attempt timeout."""
         if self.state is not ClientState.OPEN or self.connection is None:
             return False
-        goal = self.clients.scenario.profile[self.arrival.profile].setup_goal
+        attempt_timeout = self.clients.scenario.profile[self.arrival.profile].setup_goal
         line_sent_at = self.connection.line_sent_at
-        return self.answer_delay <= goal and (line_sent_at is None or now - line_sent_at <= goal)
+        return self.answer_delay <= attempt_timeout and (
+            line_sent_at is None or now - line_sent_at <= attempt_timeout
+        )
 
 
 class ClientConnection(asyncio.Protocol):
@@ -381,12 +383,12 @@
                 print("all in", flush=True)
             await asyncio.sleep(PING_INTERVAL_SECONDS)
 
-    def begin(self, at: float) -> None:
+    def begin(self, begin_at: float) -> None:
         """Starts the scenario's arrivals at a time of the monotonic clock."""
-        self.began_at = at
+        self.began_at = begin_at
         self._schedule_arrivals(client_arrivals(self.scenario))
-        self.call_at(at, self._count_credit)
-        self.call_at(at + 1.0, self._record_second)
+        self.call_at(begin_at, self._count_credit)
+        self.call_at(begin_at + 1.0, self._record_second)
 
     def _schedule_arrivals(self, arrivals: Iterator[ClientArrival]) -> None:
         """Schedules the next arrival only when the one before has come, so that few timers are pending."""
@@ -404,6 +406,7 @@
         self.call_at(self.began_at + arrival.at, arrive)
 
     def _count_credit(self) -> None:
+        """Adds the credit of clients that have arrived; slow readers don't count."""
         now = time.monotonic()
         for client in self.present:
             if not client.arrival.slow_reader and now < client.leaves_at():
--- a/pointgw/testbed/demand.py
+++ b/pointgw/testbed/demand.py
@@ -56,17 +56,17 @@
 def _arrival_times(scenario: Scenario, rng: Random) -> list[float]:
     demand = scenario.demand
     times = [rng.uniform(0.0, STANDING_ARRIVAL_SECONDS) for _ in range(demand.standing)]
-    at = 0.0
+    arrival_time = 0.0
     bursts = [t for t in scenario.trouble if t.what == "burst"]
     while True:
         # Thinning: arrivals are drawn at the highest rate and kept with the ratio of the current rate to it.
         max_rate = demand.arrivals * max([1.0, *(t.size for t in bursts)])
-        at += rng.expovariate(max_rate)
-        if at >= scenario.seconds:
+        arrival_time += rng.expovariate(max_rate)
+        if arrival_time >= scenario.seconds:
             break
-        factor = max([1.0, *(t.size for t in bursts if t.at <= at < t.at + (t.seconds or 1e9))])
+        factor = max([1.0, *(t.size for t in bursts if t.at <= arrival_time < t.at + (t.seconds or 1e9))])
         if rng.random() * max_rate < demand.arrivals * factor:
-            times.append(at)
+            times.append(arrival_time)
     if demand.burst_every:
         for i in range(1, int(scenario.seconds / demand.burst_every)):
             times += [i * demand.burst_every + rng.uniform(0.0, 0.05) for _ in range(demand.burst_size)]
--- a/pointgw/testbed/discovery.py
+++ b/pointgw/testbed/discovery.py
@@ -142,18 +142,18 @@
                     self._record_change(line)
             case "lower":
                 self.registry.reset_index()
-                for call in list(self.connections):
-                    tcp.abort_with_reset(call.transport)
+                for connection in list(self.connections):
+                    tcp.abort_with_reset(connection.transport)
             case what:
                 raise ValueError(f"unknown command {what!r}")
         if self.registry.answer_mode in (AnswerMode.RESET, AnswerMode.BUSY):
-            for call in list(self.connections):
-                if call.watch_pending:
-                    tcp.abort_with_reset(call.transport)
+            for connection in list(self.connections):
+                if connection.watch_pending:
+                    tcp.abort_with_reset(connection.transport)
         elif self.registry.answer_mode is not AnswerMode.SILENT:
-            for call in list(self.connections):
-                if call.watch_pending:
-                    call.answer_if_changed()
+            for connection in list(self.connections):
+                if connection.watch_pending:
+                    connection.answer_if_changed()
 
     def _record_change(self, line: Line) -> None:
         self.writer.write(Changed(time.monotonic(), line.name, line.status, self.registry.index))
--- a/pointgw/testbed/invariant_checker.py
+++ b/pointgw/testbed/invariant_checker.py
@@ -215,17 +215,17 @@
             return
         if self._is_excluded(asked):
             return
-        latest = asked.t + asked.patience + TIMING_TOLERANCE_SECONDS
+        deadline = asked.t + asked.patience + TIMING_TOLERANCE_SECONDS
         if not tunnel.answers:
-            if latest + END_MARGIN_SECONDS < self._last_record_time():
+            if deadline + END_MARGIN_SECONDS < self._last_record_time():
                 text = "its client received neither an answer nor the end of its connection"
-                self._add_violation(1, latest, name, text, tunnel.history(self.meta.began))
+                self._add_violation(1, deadline, name, text, tunnel.history(self.meta.began))
             else:
                 self.result.tunnels_excluded["asked at the very end"] += 1
             return
         self.result.tunnels_checked += 1
         first = tunnel.answers[0]
-        late = first.t - latest - self._lag_at("clients", first.t)
+        late = first.t - deadline - self._lag_at("clients", first.t)
         if first.how == "none":
             text = f"no answer within {asked.patience:g} s"
         elif first.how == "lost":
@@ -366,15 +366,18 @@
                     for key in [key for key in notified if key[0] == event.number]:
                         del notified[key]
                 case (rec.Took() as took, str() as name):
-                    known = notified.get((took.balancer, took.server), inf)
+                    notified_at = notified.get((took.balancer, took.server), inf)
                     started = max((t for t in self.balancer_starts[took.balancer] if t <= at), default=-inf)
                     if took.server in changed:
-                        known = min(
-                            known,
+                        notified_at = min(
+                            notified_at,
                             max(changed[took.server], healthy_since, started) + ASSUMED_NOTIFIED_SECONDS,
                         )
-                    if at > known + grace and not self._send_time_unknown(took):
-                        text = f"{took.server} got it {at - known:.3f} s after n{took.balancer} was notified"
+                    if at > notified_at + grace and not self._send_time_unknown(took):
+                        text = (
+                            f"{took.server} got it {at - notified_at:.3f} s after n{took.balancer} was"
+                            " notified"
+                        )
                         self._add_violation(3, at, name, text, self.tunnels[name].history(self.meta.began))
                 case _:
                     pass
@@ -444,7 +447,7 @@
     """Formats the result as lines of text: a summary, then the violations by rule."""
     lines = [
         f"rules: {'kept' if result.passed else 'BROKEN'}, {result.tunnels_checked} tunnels checked"
-        + "".join(f", {count} {why}" for why, count in sorted(result.tunnels_excluded.items()))
+        + "".join(f", {count} {reason}" for reason, count in sorted(result.tunnels_excluded.items()))
     ]
     for rule, count in sorted(result.violations_by_rule().items()):
         for violation in [v for v in result.violations if v.rule == rule][:MAX_VIOLATIONS_SHOWN]:
--- a/pointgw/testbed/peers.py
+++ b/pointgw/testbed/peers.py
@@ -77,9 +77,9 @@
         self.byte_counts: dict[int, int] = {}
         self.links: dict[tuple[int, int], PeerLink] = {}
 
-    async def open(self, ways: list[tuple[int, int, Address, Address]]) -> None:
+    async def open(self, link_addresses: list[tuple[int, int, Address, Address]]) -> None:
         """Opens the links; each is (sender, receiver, listen address, receiver's address)."""
-        for sender, receiver, (host, port), (target_host, target_port) in ways:
+        for sender, receiver, (host, port), (target_host, target_port) in link_addresses:
             link = self.links[sender, receiver] = PeerLink(self, sender, (target_host, target_port))
             await self.loop.create_datagram_endpoint(
                 partial(_existing_protocol, link), local_addr=(host, port)
@@ -96,12 +96,12 @@
 
     def handle_command(self, command: child_process.Message) -> None:
         """A command of the run: other faults for some links, or a replay of recent datagrams."""
-        which = set(command["which"])
+        numbers = set(command["which"])
         for (sender, receiver), link in self.links.items():
             match command["what"]:
-                case "peers-split" if (sender in which) is not (receiver in which):
+                case "peers-split" if (sender in numbers) is not (receiver in numbers):
                     link.impairment = Impairment(cut=command["on"])
-                case "peers-one-way" if sender in which:
+                case "peers-one-way" if sender in numbers:
                     link.impairment = Impairment(cut=command["on"])
                 case "peers-lossy":
                     impairment = Impairment(command["size"], command["late"], 0.2)
--- a/pointgw/testbed/run.py
+++ b/pointgw/testbed/run.py
@@ -65,8 +65,9 @@
 
     `run_number` (default: the process id) selects the addresses, so that runs side by side don't share any.
     `on_progress` is called each second with the seconds from the scenario's start, `on_balancer_down` with
-    the state folder of a balancer that was ended, before it starts again. Raises
-    ValueError on an unknown policy.
+    the state folder of a balancer that was ended, before it starts again.
+
+    Raises ValueError on an unknown policy.
     """
 
     def __init__(
@@ -92,9 +93,9 @@
         self.power_cycles: dict[int, int] = {}  # of each balancer's machine
         self.began = 0.0  # the scenario's start, on the monotonic clock
         self.tasks: set[asyncio.Task[None]] = set()
-        links = [event for event in self.events if event.trouble.what == "links"]
-        self.boxed_clients = any(event.trouble.side == "clients" for event in links)
-        proxied = {n for event in links if event.trouble.side == "servers" for n in event.which}
+        link_events = [event for event in self.events if event.trouble.what == "links"]
+        self.boxed_clients = any(event.trouble.side == "clients" for event in link_events)
+        proxied = {n for event in link_events if event.trouble.side == "servers" for n in event.which}
         self.boxed_servers = tuple(sorted(proxied))
         total = sum(kind.share for kind in self.fleet.kinds)
         self.kinds = []
@@ -202,9 +203,9 @@
 
         task.add_done_callback(done)
 
-    def _fail(self, fault: InvalidRunError) -> None:
+    def _fail(self, error: InvalidRunError) -> None:
         if self.failure is not None and not self.failure.done():
-            self.failure.set_exception(fault)
+            self.failure.set_exception(error)
 
     # Names, zones and addresses.
 
@@ -249,9 +250,9 @@
 
     async def _start_process(self, name: str, command: list[str], log: str, env: dict[str, str]) -> Component:
         """Starts a process that the reaper ends if this one dies."""
-        with open(self.folder / log, "ab") as out:
+        with open(self.folder / log, "ab") as log_file:
             process = await asyncio.create_subprocess_exec(
-                *command, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=out,
+                *command, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=log_file,
                 start_new_session=True, env=os.environ | env,
             )  # fmt: skip
         assert self.reaper is not None and self.reaper.stdin is not None
--- a/pointgw/testbed/scenario.py
+++ b/pointgw/testbed/scenario.py
@@ -109,7 +109,7 @@
     burst_size: PositiveCount = 20
     retry_first: Positive = 0.1  # delay before the first retry, doubled for each further one
     retry_last: Positive = 2.0  # upper bound of that delay
-    tries: PositiveCount = 8  # attempts after which a client gives up
+    tries: PositiveCount = 8  # attempts in a row, after which a client waits at least 5 * `retry_last`
     slow_readers: Fraction = 0.0  # share of clients that read a few bytes at a time
 
 
--- a/tests/slow_start_world.py
+++ b/tests/slow_start_world.py
@@ -157,9 +157,9 @@
         settings = make_site()
         worst = 0.0
         for times in self.placements.values():
-            for i, at in enumerate(times):
-                begin = at - settings.overload_window
-                age = max(0.0, at - settings.overload_window / 2 - START) / settings.warm_up_window
+            for i, sent_at in enumerate(times):
+                begin = sent_at - settings.overload_window
+                age = max(0.0, sent_at - settings.overload_window / 2 - START) / settings.warm_up_window
                 share = settings.slow_start_share + (1 - settings.slow_start_share) * age
                 limit = (
                     settings.overload_factor
@@ -178,8 +178,8 @@
         """
         settings, worst = self.site, -inf
         for times in self.placements.values():
-            for i, at in enumerate(times):
-                age = max(0.0, at - settings.overload_window - START)
+            for i, sent_at in enumerate(times):
+                age = max(0.0, sent_at - settings.overload_window - START)
                 share = (
                     settings.slow_start_share
                     + (1 - settings.slow_start_share) * age / settings.warm_up_window
@@ -193,7 +193,12 @@
                 )
                 worst = max(
                     worst,
-                    i + 1 - bisect_left(times, at - settings.overload_window) - limit - 2 * limit**0.5 - 2,
+                    i
+                    + 1
+                    - bisect_left(times, sent_at - settings.overload_window)
+                    - limit
+                    - 2 * limit**0.5
+                    - 2,
                 )
         return worst
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -111,11 +111,11 @@
     world = SimulatedCluster(size)
     world.run(10.0)
     world.loss = 0.3
-    wrong = 0
+    incomplete_views = 0
     for _ in range(60):
         world.run(0.5)
-        wrong += sum(len(live) < size for live in world.live_members())
-    assert wrong < 0.02 * 60 * size
+        incomplete_views += sum(len(live) < size for live in world.live_members())
+    assert incomplete_views < 0.02 * 60 * size
 
 
 def test_a_paused_member_does_not_declare_the_others_dead() -> None:
@@ -147,8 +147,8 @@
     world.run(8.0)
     before = {n: dict(node.observations.entries) for n, node in world.nodes.items()}
     received = {n: node.counters["heard"] for n, node in world.nodes.items()}
-    for to, data in old + recorded[-80:-40]:  # the very last ones are still in flight
-        world.nodes[to].receive(data, world.now)
+    for receiver, data in old + recorded[-80:-40]:  # the very last ones are still in flight
+        world.nodes[receiver].receive(data, world.now)
     assert world.closed_zones() == {0}
     assert {n: node.counters["heard"] for n, node in world.nodes.items()} == received
     assert {n: dict(node.observations.entries) for n, node in world.nodes.items()} == before
--- a/tests/test_fault_proxy.py
+++ b/tests/test_fault_proxy.py
@@ -260,7 +260,7 @@
     )
 
     def run(order: int) -> str:
-        async def one(proxy: FaultProxy, number: int) -> None:
+        async def exchange_lines(proxy: FaultProxy, number: int) -> None:
             with suppress(ConnectionError):
                 reader, writer = await asyncio.open_connection(*proxy.address)
                 for line in range(6):
@@ -275,7 +275,7 @@
         ) -> None:
             numbers = list(range(50))
             Random(order).shuffle(numbers)
-            await asyncio.gather(*(one(proxy, number) for number in numbers))
+            await asyncio.gather(*(exchange_lines(proxy, number) for number in numbers))
 
         return run_through_proxy(script, client, echo).trace()
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -110,8 +110,8 @@
             network.send_requests(balancers[n], needs[n], now)
         # Also just before the moment that each lease ends.
         lease_ends = [end - 1e-9 for b in balancers for end in share_changes(b) if now < end < now + 0.05]
-        for at in (now, *lease_ends):
-            assert sum(b.budget_share(at) for b in balancers) <= count + 1e-6
+        for time in (now, *lease_ends):
+            assert sum(b.budget_share(time) for b in balancers) <= count + 1e-6
 
 
 @pytest.mark.parametrize("count", [3, 6, 40, 200, 1000])
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -71,12 +71,12 @@
 
 def test_truncation_at_every_byte_and_a_flip_of_every_bit_is_detected(capsys: Any) -> None:
     data = snapshot_format.encode(make_snapshot(make_record(), make_record("s-2", "leaving")))
-    for at in range(len(data)):
+    for position in range(len(data)):
         with pytest.raises(snapshot_format.DamagedSnapshotError):
-            snapshot_format.decode(data[:at])
-    for at, bit in itertools.product(range(len(data)), range(8)):
+            snapshot_format.decode(data[:position])
+    for position, bit in itertools.product(range(len(data)), range(8)):
         flipped = bytearray(data)
-        flipped[at] ^= 1 << bit
+        flipped[position] ^= 1 << bit
         with pytest.raises(snapshot_format.DamagedSnapshotError):
             snapshot_format.decode(bytes(flipped))
     with capsys.disabled():
@@ -104,19 +104,19 @@
 def test_a_crash_at_every_step_leaves_the_old_or_the_new_snapshot(tmp_path: Path, capsys: Any) -> None:
     old, new = make_snapshot(make_record("old")), make_snapshot(make_record("new"))
     crash_points = 0
-    for at in itertools.count():
-        folder = str(tmp_path / str(at))
+    for crash_step in itertools.count():
+        folder = str(tmp_path / str(crash_step))
         first = SnapshotStore(folder)
         first.claim("n0")
         first.save(snapshot_format.encode(old))
         first.save(snapshot_format.encode(old))
-        left = at
+        steps_left = crash_step
 
         def step(name: str) -> None:
-            nonlocal left
-            if not left:
+            nonlocal steps_left
+            if not steps_left:
                 raise Crash(name)
-            left -= 1
+            steps_left -= 1
 
         first.before_step = step
         try:
@@ -125,9 +125,9 @@
         except Crash as crash:
             crashed = str(crash)
         first.release()
-        found = SnapshotStore(folder).load()
-        assert found.snapshot in (old, new) and not found.damaged
-        assert (found.snapshot == new) is (crashed in ("", "fsync folder", "unlink"))
+        loaded = SnapshotStore(folder).load()
+        assert loaded.snapshot in (old, new) and not loaded.damaged
+        assert (loaded.snapshot == new) is (crashed in ("", "fsync folder", "unlink"))
         # The next process saves further generations.
         again = SnapshotStore(folder)
         again.claim("n0")
@@ -153,11 +153,11 @@
         store.save(snapshot_format.encode(make_snapshot(make_record(name))))
     newest = tmp_path / "s" / f"state.{store.generation}"
     newest.write_bytes(newest.read_bytes()[:-3] if replacement is None else replacement)
-    found = store.load()
+    loaded = store.load()
     assert (
-        found.snapshot == make_snapshot(make_record("two"))
-        and len(found.damaged) == 1
-        and newest.name in found.damaged[0]
+        loaded.snapshot == make_snapshot(make_record("two"))
+        and len(loaded.damaged) == 1
+        and newest.name in loaded.damaged[0]
     )
     store.save(snapshot_format.encode(make_snapshot(make_record("four"))))
     assert SnapshotStore(str(tmp_path / "s")).load().snapshot == make_snapshot(make_record("four"))
@@ -176,8 +176,8 @@
     target = tmp_path / "elsewhere"
     target.write_bytes(snapshot_format.encode(make_snapshot(make_record("planted"))))
     (tmp_path / "s" / "state.9").symlink_to(target)
-    found = store.load()
-    assert found.snapshot == make_snapshot() and len(found.damaged) == 1
+    loaded = store.load()
+    assert loaded.snapshot == make_snapshot() and len(loaded.damaged) == 1
 
 
 def test_a_second_process_is_refused_with_the_name_of_the_first(tmp_path: Path) -> None:
@@ -300,8 +300,8 @@
 
     writer, _ = run_writer(tmp_path, lambda name: None, action, lambda: next(count))
     assert 2 <= writer.stats.write_count <= 6
-    found = SnapshotStore(str(tmp_path)).load().snapshot
-    assert found is not None and found.clean_stop
+    saved = SnapshotStore(str(tmp_path)).load().snapshot
+    assert saved is not None and saved.clean_stop
 
 
 # Confidence.
@@ -375,11 +375,13 @@
 
 @given(records_of_three, records_of_three, records_of_three)
 def test_joining_records_is_idempotent_commutative_and_associative(
-    one: ServerRecord, two: ServerRecord, three: ServerRecord
+    first: ServerRecord, second: ServerRecord, third: ServerRecord
 ) -> None:
-    one, two, three = (msgspec.structs.replace(f, name="a") for f in (one, two, three))
-    assert join_records(one, one) == one and join_records(one, two) == join_records(two, one)
-    assert join_records(join_records(one, two), three) == join_records(one, join_records(two, three))
+    first, second, third = (msgspec.structs.replace(record, name="a") for record in (first, second, third))
+    assert join_records(first, first) == first and join_records(first, second) == join_records(second, first)
+    assert join_records(join_records(first, second), third) == join_records(
+        first, join_records(second, third)
+    )
 
 
 # Restored state.
@@ -550,8 +552,8 @@
     for second in range(10):
         changed = names[200 * second : 200 * second + 200]
         view.apply_list([make_entry(name, "left", 0.0) for name in changed], [], False, NOW + second)
-    took = time.perf_counter() - began
-    assert view.change_count == 12_000 and took < 2.0
+    elapsed = time.perf_counter() - began
+    assert view.change_count == 12_000 and elapsed < 2.0
     assert sum(record.is_inactive for record in view.snapshot_records(NOW + 10)) == 2000
     snapshot = make_snapshot(*view.snapshot_records(NOW + 10))
     assert len(snapshot_format.encode(snapshot)) < 1_500_000
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -149,15 +149,15 @@
     ],
 )
 def test_an_invalid_scenario_value_is_named_by_its_path(content: dict[str, Any], path: str) -> None:
-    with pytest.raises(validation.InvalidFileError) as found:
+    with pytest.raises(validation.InvalidFileError) as raised:
         validation.convert({"name": "t", "about": "t"} | content, Scenario, "f")
-    assert [fault.path for fault in found.value.problems] == [path]
+    assert [problem.path for problem in raised.value.problems] == [path]
 
 
 def test_recovery_time_follows_from_the_share_served_each_second() -> None:
     shares = [1.0] * 10 + [0.5, 0.6, 0.9, 1.0, 1.0, 1.0, 1.0]
-    found = results._measure_recovery(shares, 10.25, 11.0, "x")
-    assert found == results.Recovery("x", 10.25, 0.5, 2.75)
+    recovery = results._measure_recovery(shares, 10.25, 11.0, "x")
+    assert recovery == results.Recovery("x", 10.25, 0.5, 2.75)
     assert results._measure_recovery([1.0] * 10 + [0.5] * 6, 10.0, 11.0, "x").seconds is None
     assert results._measure_recovery([1.0] * 20, 10.0, 11.0, "x") == results.Recovery("x", 10.0, 1.0, 0.0)
 
@@ -178,12 +178,12 @@
 
 def test_a_testbed_process_that_is_the_bottleneck_is_named() -> None:
     run = ScenarioRun(read("calm"), Path("unused"))
-    found: list[rec.AnyRecord] = [rec.Strain(float(t), "clients", 0.2, 0.95) for t in range(1, 9)]
-    found += [rec.Strain(float(t), "s-1", 0.0, 0.1) for t in range(1, 9)]
-    found += [rec.Machine(float(t), 0.02) for t in range(1, 9)]
+    records: list[rec.AnyRecord] = [rec.Strain(float(t), "clients", 0.2, 0.95) for t in range(1, 9)]
+    records += [rec.Strain(float(t), "s-1", 0.0, 0.1) for t in range(1, 9)]
+    records += [rec.Machine(float(t), 0.02) for t in range(1, 9)]
     from pointgw.testbed.meta import Meta
 
-    warnings = results.find_strain(found, Meta(run.scenario, "srlb", 0.0, 10.0, False, (), {}, {}))
+    warnings = results.find_strain(records, Meta(run.scenario, "srlb", 0.0, 10.0, False, (), {}, {}))
     assert len(warnings) == 3 and all("clients" in text or "machine" in text for text in warnings)
 
 
@@ -199,28 +199,28 @@
 
 def processes_of(folder: Path) -> list[str]:
     """Ids of the processes of a run that are still running."""
-    found = []
+    process_ids = []
     for path in Path("/proc").glob("[0-9]*/environ"):
         try:
             if str(folder).encode() in path.read_bytes():
-                found.append(path.parent.name)
+                process_ids.append(path.parent.name)
         except OSError:
             continue
-    return found
+    return process_ids
 
 
 def test_a_run_with_two_killed_processes_keeps_the_rules_and_leaves_no_process(tmp_path: Path) -> None:
     meta = asyncio.run(ScenarioRun(SHORT, tmp_path).execute())
-    found = rec.read(tmp_path)
-    check_result = check_records(found, meta)
+    records = rec.read(tmp_path)
+    check_result = check_records(records, meta)
     assert check_result.passed and check_result.tunnels_checked > 60, check_result.violations
-    result = results.compute_result(found, meta, check_result)
+    result = results.compute_result(records, meta, check_result)
     assert result.service > 0.2 and result.answers["opened"] > 60 and result.setups["p50"] < 1.0
     assert [recovery.what for recovery in result.recovery] == ["server-kill", "balancer-kill"]
     assert not processes_of(tmp_path)
     # The same records without one answer have to violate the rules.
-    first = next(r for r in found if isinstance(r, rec.Answered) and r.how == "opened")
-    assert not check_records([r for r in found if r is not first], meta).passed
+    first = next(r for r in records if isinstance(r, rec.Answered) and r.how == "opened")
+    assert not check_records([r for r in records if r is not first], meta).passed
 
 
 def test_a_run_is_void_when_a_testbed_process_dies(tmp_path: Path) -> None:
