--- a/pointgw/command/main.py
+++ b/pointgw/command/main.py
@@ -150,7 +150,10 @@
 @click.argument("status", type=click.Path(dir_okay=False))
 @click.option("--json", "as_json", is_flag=True, help="As JSON on standard output.")
 def tier_show(status: str, as_json: bool) -> int:
-    """Show members, zones and shares from a balancer's status file. Exit code 1: it is missing or old."""
+    """Show members, zones, closed zones and shares from a balancer's status file.
+
+    Exit code 1: it is missing or old.
+    """
     from pointgw.command.tier import show
 
     return show(status, as_json)
